--- a/core/src/main/java/ambertrestle/decide/Answer.java
+++ b/core/src/main/java/ambertrestle/decide/Answer.java
@@ -2,9 +2,17 @@
 
 /** What is to happen with an association: plain value, made by the module. Times in nanoseconds. */
 public final class Answer {
-    /** SEND to backend within time; WAIT until time; SHED, the client may come back after time; FORFEIT; or
-     *  NOTHING: it has its answer, or a dispatch is still out. */
-    public enum Kind { SEND, WAIT, SHED, FORFEIT, NOTHING }
+    /**
+     * SEND to backend within time; WAIT until time; SHED, the client may come back after time; FORFEIT; or NOTHING: it
+     * has its answer, or a dispatch is still out.
+     */
+    public enum Kind {
+        SEND,
+        WAIT,
+        SHED,
+        FORFEIT,
+        NOTHING
+    }
 
     public static final Answer NOTHING = new Answer(Kind.NOTHING, 0, 0);
     public static final Answer FORFEIT = new Answer(Kind.FORFEIT, 0, 0);
--- a/core/src/main/java/ambertrestle/decide/Association.java
+++ b/core/src/main/java/ambertrestle/decide/Association.java
@@ -3,13 +3,18 @@
 /** One association as the client brought it, with the dispatches made for it. Times in nanoseconds. */
 public final class Association {
     /** What is known of a dispatch: still out, known not to have run, or it may have run. */
-    public enum Fate { OUT, NEVER_RAN, MAY_HAVE_RUN }
+    public enum Fate {
+        OUT,
+        NEVER_RAN,
+        MAY_HAVE_RUN
+    }
 
     public final long id;
     public final int useCase;
     public final int tenant;
     /** The client key and the group key, unsigned; 0 where there is none. */
     public final long client;
+
     public final long group;
     public final long cutOff;
     /** Its packets reached this relay while the connection was open. */
@@ -23,6 +28,7 @@
     public Fate[] fate = new Fate[4];
     /** Load of the connection in work a second (nanoseconds a second); 0 while unknown. */
     public double load;
+
     public boolean established;
     /** The final answer was given, or the end was learned. */
     public boolean closed;
@@ -39,8 +45,16 @@
     /** Its place in its backend's list of open connections; -1 while in none. */
     public int place = -1;
 
-    public Association(long id, int useCase, int tenant, long client, long group, long cutOff,
-            double load, boolean midFlow, boolean returning) {
+    public Association(
+            long id,
+            int useCase,
+            int tenant,
+            long client,
+            long group,
+            long cutOff,
+            double load,
+            boolean midFlow,
+            boolean returning) {
         this.id = id;
         this.useCase = useCase;
         this.tenant = tenant;
--- a/core/src/main/java/ambertrestle/decide/Backend.java
+++ b/core/src/main/java/ambertrestle/decide/Backend.java
@@ -13,9 +13,11 @@
     double weight = 1;
     /** Called gone by a list that does not bind, and how many set-ups in a row failed there since. */
     boolean unlisted;
+
     int missed;
     /** When this relay heard that it drains or is gone. */
     long heardAt;
+
     final ArrayList<Association> open = new ArrayList<>();
     /** Dispatches that are out and not yet established. */
     int pending;
@@ -23,6 +25,7 @@
     double load;
     /** Decaying counts of set-ups that stood, of failures, and of failures that a shared store may cause. */
     double good;
+
     double bad;
     double slow;
     long evidenceAt;
@@ -31,12 +34,15 @@
     long usedAt;
     /** Dispatches that the cold budget still allows, and when that was reckoned. */
     double allowance;
+
     long allowanceAt;
     /** What it held when its messages turned late, and when that was; 0 while never seen. */
     double carries;
+
     long lateAt;
     /** How long a message was last told to take, 0 while not long. */
     long delay;
+
     long delayAt = Long.MIN_VALUE / 2;
     /** When an open connection was last broken there. */
     long brokenAt = Long.MIN_VALUE / 2;
@@ -73,8 +79,8 @@
 
     /** What of it outlives this process. */
     Kept.Judged judged() {
-        return new Kept.Judged(id, startedAt, evidenceAt, good, bad, slow, delay, delayAt,
-                stage == Listed.Stage.READY ? 0 : heardAt);
+        return new Kept.Judged(
+                id, startedAt, evidenceAt, good, bad, slow, delay, delayAt, stage == Listed.Stage.READY ? 0 : heardAt);
     }
 
     /** Takes back what was kept; false, and it keeps what it has, where it has started anew since. */
--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -5,7 +5,6 @@
 import ambertrestle.decide.Listed.Stage;
 import ambertrestle.decide.UseCase.Effect;
 import ambertrestle.decide.UseCase.Scope;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -16,23 +15,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one relay. Ask {@link #where} for an association that arrived or has waited,
- * {@link #after} when a dispatch ended, {@link #howLong} after each batch; tell it the rest. The plain values
- * of this interface stand beside it in this package. One instance a relay, one thread, the batch's clock.
+ * Every decision of one relay. Ask {@link #where} for an association that arrived or has waited, {@link #after} when a
+ * dispatch ended, {@link #howLong} after each batch; tell it the rest. The plain values of this interface stand beside
+ * it in this package. One instance a relay, one thread, the batch's clock.
  *
- * <p>The ordinary path is docs/design.md's: own tracking table, else the Maglev table in the key's order.
- * Mechanisms beside it, as numbered there:
- * 1. size: a backend takes turns in the Maglev table in proportion to its listed weight;
- * 2. crowding: overfull and late backends are passed over on a hit too, a group lies on its part of them;
- * 3. moves: connections leave a late backend, the heaviest first;
- * 4. warm-up: a fresh backend counts by its age, with a hard budget in the gate;
- * 5. doubt: a backend with failures gets work by a draw from the posterior of its chance of success;
- * 6. pacing: time-outs with further dispatches, and set-ups spaced while they fail all over.
+ * <p>The ordinary path is docs/design.md's: own tracking table, else the Maglev table in the key's order. Mechanisms
+ * beside it, as numbered there: 1. size: a backend takes turns in the Maglev table in proportion to its listed weight;
+ * 2. crowding: overfull and late backends are passed over on a hit too, a group lies on its part of them; 3. moves:
+ * connections leave a late backend, the heaviest first; 4. warm-up: a fresh backend counts by its age, with a hard
+ * budget in the gate; 5. doubt: a backend with failures gets work by a draw from the posterior of its chance of
+ * success; 6. pacing: time-outs with further dispatches, and set-ups spaced while they fail all over.
  */
 public final class Balancer implements Decisions {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
     /** Prime; turns keep it even to one slot: four times as many changed nothing at 138 backends. */
     private static final int TABLE = 4093;
+
     private static final int MOST_ENTRIES = 1 << 16;
     /** A silent watch counts as told after 6 s, and 3.2 s are over when it is found silent. */
     private static final long HEAR_AGAIN = 2_300 * MS;
@@ -44,6 +42,7 @@
     private static final int UNSEEN_PAIRS = 4;
     /** One in so many that are not in their own place leave in a second; about so many are looked at then. */
     private static final int HOME_IN = 8, MOST_LOOKED = 256;
+
     private static final long HOME_AFTER = 5 * SECOND;
     private static final long ENTRY_AGE = 60 * SECOND;
     /** Evidence about a backend halves in this time. */
@@ -53,15 +52,18 @@
     private final HashMap<Long, Backend> backends = new HashMap<>();
     /** Listed ready or draining, by id: the members of the Maglev table. */
     private Backend[] members = new Backend[0];
+
     private Backend[] table = new Backend[0];
     /** The key's order as far as it was walked: distinct backends met from the key's slot on. */
     private Backend[] order = new Backend[0];
+
     private int met, walked;
     private final LinkedHashMap<Long, Entry> tracking = new LinkedHashMap<>(256, 0.75f, true);
     private long purgeAt;
     private int mark;
     /** Gathers what is due until it is next asked for. */
     private Chores chores = new Chores();
+
     private long notedAt = Long.MIN_VALUE / 2;
 
     private final UseCase[] useCases;
@@ -73,6 +75,7 @@
     private long shortestGoal = Long.MAX_VALUE / 4, patience;
     /** The usual load of one connection, and how many notes of load that rests on. */
     private double usual;
+
     private int notes;
 
     private long watchAt;
@@ -81,6 +84,7 @@
     private int homed;
     /** Connections that lived to their end here, decaying: what warm backends surely carry. */
     private double ended;
+
     private long endedAt;
     private long bornAt;
     private double setUp;
@@ -88,10 +92,12 @@
     private long pace, nextSlot;
     /** Sums over the ready backends: weight and count by warmth, load, connections; pairs of one group. */
     private double weights, sizes, warm, load;
+
     private int held, occupied, ready;
     private long pairs, summedAt, coldUntil = Long.MIN_VALUE;
     /** Backends told to be late, and those with fresh evidence; looked through instead of all. */
     private final LinkedHashSet<Backend> lates = new LinkedHashSet<>();
+
     private final LinkedHashSet<Backend> tried = new LinkedHashSet<>();
     /** What changed since it was last asked what to keep. */
     private final Ledger ledger = new Ledger();
@@ -120,8 +126,8 @@
         coldFor = (long) JobTicket.number(jobTicket, "rules.cold");
         fallMultiple = JobTicket.number(jobTicket, "rules.fallMultiple");
         fallFor = (long) JobTicket.number(jobTicket, "rules.fall");
-        weighted = List.of("nominal", "rough").contains(
-                JobTicket.word(jobTicket, "weights", "nominal", "rough", "none", "live"));
+        weighted = List.of("nominal", "rough")
+                .contains(JobTicket.word(jobTicket, "weights", "nominal", "rough", "none", "live"));
         pushed = JobTicket.word(jobTicket, "discovery", "pushed", "on_request").equals("pushed");
         askWithin = (long) JobTicket.numberOr(jobTicket, "rules.askWithin", 16.0 * SECOND);
         boolean tells = Boolean.parseBoolean(jobTicket.get("limits.retryAfter"));
@@ -129,7 +135,8 @@
         for (double goal : JobTicket.numbers(jobTicket, "familyInfo.messageAim")) {
             shortestGoal = Math.min(shortestGoal, (long) goal);
         }
-        quota = Arrays.stream(JobTicket.numbers(jobTicket, "familyInfo.tenantQuotaConnections")).sum();
+        quota = Arrays.stream(JobTicket.numbers(jobTicket, "familyInfo.tenantQuotaConnections"))
+                .sum();
         relays = (int) JobTicket.number(jobTicket, "relays");
         bornAt = now;
         endedAt = now;
@@ -196,8 +203,7 @@
             due.rosterCall = Chores.RosterCall.WATCH;
         }
         if (now >= purgeAt) {
-            tracking.values().removeIf(
-                    e -> e.open.isEmpty() && now - e.endedAt >= ENTRY_AGE && ledger.gone(e));
+            tracking.values().removeIf(e -> e.open.isEmpty() && now - e.endedAt >= ENTRY_AGE && ledger.gone(e));
             purgeAt = now + ENTRY_AGE / 4;
         }
         due.wakeAt = Math.min(purgeAt, watchAt);
@@ -249,8 +255,10 @@
         // Danger: relays that ask again in step keep the roster service full and all of them fail again.
         long base = turn(Math.min(watchFailures, 4));
         // Danger: what a watch fallen silent misses counts as told while the relay still waits its turn.
-        watchAt = now + (watchFailures++ == 0 ? chance.nextLong(Math.min(base, HEAR_AGAIN))
-                : base / 2 + chance.nextLong(base));
+        watchAt = now
+                + (watchFailures++ == 0
+                        ? chance.nextLong(Math.min(base, HEAR_AGAIN))
+                        : base / 2 + chance.nextLong(base));
     }
 
     /** Calls of all relays spread over this, half at most of the time after which silence counts as told. */
@@ -273,8 +281,8 @@
     /** What it would keep beyond this process: at most so many values, those changed since last asked. */
     @Override
     public Kept changes(int most, long now) {
-        Kept.Whole whole = new Kept.Whole(ageEnded(now), Math.min(now - bornAt, 10 * SECOND), setUp, usual,
-                notes, pace);
+        Kept.Whole whole =
+                new Kept.Whole(ageEnded(now), Math.min(now - bornAt, 10 * SECOND), setUp, usual, notes, pace);
         return ledger.take(most, made(), whole, backends.values(), tracking.values());
     }
 
@@ -348,11 +356,15 @@
         }
     }
 
-    /** Danger: unseen, what grows on a backend makes all there late. Too much is where its load and what
-        others likely hold there pass half of its part of the tenants' quota, with room elsewhere. */
+    /**
+     * Danger: unseen, what grows on a backend makes all there late. Too much is where its load and what others likely
+     * hold there pass half of its part of the tenants' quota, with room elsewhere.
+     */
     private boolean laden(Backend b, long now) {
         double size = b.weight * warmth(b, now) / Math.max(sizes, 1e-9), room = 0.5 * quota * usual;
-        return unseen && notes > 32 && load * relays < 0.7 * room
+        return unseen
+                && notes > 32
+                && load * relays < 0.7 * room
                 && b.load * (relays + 1) / 2 + load * size * (relays - 1) / 2 > room * size;
     }
 
@@ -362,7 +374,8 @@
         boolean rising = delay >= b.delay || now - b.delayAt > 3 * SECOND;
         if (delay * 3 > shortestGoal) {
             double crowd = b.crowd(one());
-            b.carries = !late(b, now) && b.carries > 0 ? (b.carries + crowd) / 2
+            b.carries = !late(b, now) && b.carries > 0
+                    ? (b.carries + crowd) / 2
                     : b.carries == 0 ? crowd : Math.min(b.carries, crowd);
             b.lateAt = now;
             lates.add(b);
@@ -379,7 +392,10 @@
 
     /** Danger: what piles up on an overloaded backend makes every connection there late; some must leave. */
     private void moveOff(Backend b, int some, long now) {
-        b.open.stream().filter(a -> !a.moved).sorted(Comparator.comparing(a -> -a.load)).limit(some)
+        b.open.stream()
+                .filter(a -> !a.moved)
+                .sorted(Comparator.comparing(a -> -a.load))
+                .limit(some)
                 .forEach(a -> {
                     a.moved = true;
                     chores.moves.add(a);
@@ -423,7 +439,10 @@
         Backend known = a.key() == 0 || pin == null ? null : pin.backend;
         // Danger: an open connection sent elsewhere is reset, so a mid-flow hit is not passed over.
         boolean open = a.midFlow && a.dispatches == 0;
-        if (known != null && known.stage == Stage.READY && !a.tried(known.id) && mayReach(known, a, true, now)
+        if (known != null
+                && known.stage == Stage.READY
+                && !a.tried(known.id)
+                && mayReach(known, a, true, now)
                 && (open || sound(known, now) && !overfull(known, lateShare, now))) {
             return known;
         }
@@ -434,10 +453,16 @@
             boolean first = open && i == 0;
             ready += b != null && b.stage == Stage.READY ? 1 : 0;
             // Danger: work sent to a fleet that is late all over keeps it late; it waits or is shed.
-            if (b == null || !first && (b.stage != Stage.READY || a.tried(b.id)
-                    || late(b, now) && b.delay > shortestGoal || now < b.fullUntil
-                    || b.crowd(one()) >= limit(b, now) || holding >= depth && b.holds != holds
-                    || lateShare * 4 > 1 && ready > depth && !empty(b, now) || !sound(b, now))
+            if (b == null
+                    || !first
+                            && (b.stage != Stage.READY
+                                    || a.tried(b.id)
+                                    || late(b, now) && b.delay > shortestGoal
+                                    || now < b.fullUntil
+                                    || b.crowd(one()) >= limit(b, now)
+                                    || holding >= depth && b.holds != holds
+                                    || lateShare * 4 > 1 && ready > depth && !empty(b, now)
+                                    || !sound(b, now))
                     || !mayReach(b, a, i == 0, now)) {
                 continue;
             }
@@ -488,9 +513,11 @@
         return i < met ? order[i] : null;
     }
 
-    /** Its group lies on the first in its order whose weights make up the group's part; the client's among
-        them is drawn by weight, alike at every relay, but anew for one that comes back from where it was
-        late; where no delay is seen nobody knows that it was, and it goes to its own place. */
+    /**
+     * Its group lies on the first in its order whose weights make up the group's part; the client's among them is drawn
+     * by weight, alike at every relay, but anew for one that comes back from where it was late; where no delay is seen
+     * nobody knows that it was, and it goes to its own place.
+     */
     private int parts(Association a, double part, long now) {
         double least = Double.MAX_VALUE, warmed = 0;
         int n = 0;
@@ -520,8 +547,10 @@
         return b.weight * Math.min(1, 1.25 * warmth(b, now)) * warm / weights;
     }
 
-    /** Danger: what was placed while fresh backends were cold stays where it piled up, and nothing tells that
-        it is late there. While any warms up, a few a second whose own place is elsewhere by now are moved. */
+    /**
+     * Danger: what was placed while fresh backends were cold stays where it piled up, and nothing tells that it is late
+     * there. While any warms up, a few a second whose own place is elsewhere by now are moved.
+     */
     private void home(Chores due, long now) {
         homeAt = now + SECOND;
         sum(now);
@@ -553,7 +582,10 @@
         double fair = held * unit * b.weight * warmth(b, now) / Math.max(weights, 1e-9);
         double bound = Math.max(1.25, 2 - 2 * lateShare);
         double has = b.crowd(one());
-        return now < b.fullUntil || late(b, now) || now - b.lightenedAt < 5 * SECOND || has >= limit(b, now)
+        return now < b.fullUntil
+                || late(b, now)
+                || now - b.lightenedAt < 5 * SECOND
+                || has >= limit(b, now)
                 || has > bound * fair && has >= fair + bound * unit;
     }
 
@@ -594,7 +626,8 @@
 
     /** Over half of the backends tried lately fail set-ups. */
     private boolean jammed(long now) {
-        long doubtful = tried.stream().filter(b -> b.age(now, HALF_LIFE).slow >= 0.25).count();
+        long doubtful =
+                tried.stream().filter(b -> b.age(now, HALF_LIFE).slow >= 0.25).count();
         tried.removeIf(b -> b.slow + b.good < 0.25 || b.stage == Stage.GONE);
         return doubtful * 2 > tried.size() && doubtful > 2;
     }
@@ -613,7 +646,8 @@
     /** What a fresh backend counts for, by its age. */
     private double warmth(Backend b, long now) {
         long start = startOf(b);
-        return start == 0 || now - start >= coldFor ? 1
+        return start == 0 || now - start >= coldFor
+                ? 1
                 : coldFrom + (1 - coldFrom) * Math.max(0, now - start) / coldFor;
     }
 
@@ -667,7 +701,7 @@
                 }
             }
             case DONE -> ended = ageEnded(now) + 1;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -678,8 +712,9 @@
         UseCase u = useCases[a.useCase];
         for (int d = 0; d < a.dispatches; d++) {
             Backend before = backends.get(a.sentTo[d]);
-            boolean apart = b != null && (u.scope() == Scope.ZONE && before.zone != b.zone
-                    || u.scope() == Scope.CELL && before.cell != b.cell);
+            boolean apart = b != null
+                    && (u.scope() == Scope.ZONE && before.zone != b.zone
+                            || u.scope() == Scope.CELL && before.cell != b.cell);
             boolean over = apart || now - a.sentAt[d] >= u.window();
             if (a.fate[d] != Fate.NEVER_RAN
                     && (u.effect() == Effect.BINDING || u.effect() == Effect.FINGERPRINTED && over)) {
@@ -707,8 +742,7 @@
                 b.allowance = most > 0 ? chance.nextDouble() * most : 0;
                 b.allowanceAt = Math.max(startOf(b), now - fallFor);
             }
-            b.allowance = Math.min(Math.max(1, rate * fallFor),
-                    b.allowance + rate * (now - b.allowanceAt));
+            b.allowance = Math.min(Math.max(1, rate * fallFor), b.allowance + rate * (now - b.allowanceAt));
             b.allowanceAt = now;
             // Danger: of a hundred relays none earns a whole dispatch in time, and fresh ones get nothing.
             // Where it is the client's own place, drawn by warmth, the sum is in proportion: one goes ahead.
@@ -728,8 +762,12 @@
         // Where few are late, a warm backend could do some times what it is seen to do.
         int room = !tellsDelay || lates.size() * 8 > members.length ? 1 : 4;
         // Danger: with all of them counted as cold, parts of the cold weights would cancel what cold means.
-        double rate = fallMultiple * warmth(b, now) * room * (unseenAt > 0 ? Math.max(keptRate, ended / span)
-                : ended / span) * b.weight / Math.max(unseenAt > 0 ? sizes : weights, 1e-9);
+        double rate = fallMultiple
+                * warmth(b, now)
+                * room
+                * (unseenAt > 0 ? Math.max(keptRate, ended / span) : ended / span)
+                * b.weight
+                / Math.max(unseenAt > 0 ? sizes : weights, 1e-9);
         // Danger: a relay that learned nothing must not sit idle; any backend sets up one connection a fall.
         return unseenAt > 0 ? Math.max(rate, fallMultiple / relays / fallFor) : rate;
     }
@@ -852,7 +890,8 @@
         int n = members.length;
         int[] next = new int[n];
         double[] turns = new double[n];
-        double heaviest = Arrays.stream(members).mapToDouble(b -> b.weight).max().orElse(0);
+        double heaviest =
+                Arrays.stream(members).mapToDouble(b -> b.weight).max().orElse(0);
         for (int i = 0; i < n; i++) {
             next[i] = (int) Long.remainderUnsigned(members[i].hash, TABLE);
         }
--- a/core/src/main/java/ambertrestle/decide/Chores.java
+++ b/core/src/main/java/ambertrestle/decide/Chores.java
@@ -5,7 +5,11 @@
 
 /** When the module wants to be asked again, and what is due now. */
 public final class Chores {
-    public enum RosterCall { NONE, WATCH, FETCH }
+    public enum RosterCall {
+        NONE,
+        WATCH,
+        FETCH
+    }
 
     public long wakeAt = Long.MAX_VALUE;
     public RosterCall rosterCall = RosterCall.NONE;
--- a/core/src/main/java/ambertrestle/decide/Decisions.java
+++ b/core/src/main/java/ambertrestle/decide/Decisions.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * What a relay asks of whoever decides, and tells it: three questions, else tell-methods. {@link Balancer} is the module;
- * others stand in its place only to be compared with it. One instance a relay, one thread. Times in nanoseconds.
+ * What a relay asks of whoever decides, and tells it: three questions, else tell-methods. {@link Balancer} is the
+ * module; others stand in its place only to be compared with it. One instance a relay, one thread. Times in
+ * nanoseconds.
  */
 public interface Decisions {
     /** Makes one for a relay that starts: the job ticket, the instance's seed, the time. */
@@ -38,11 +39,16 @@
 
     void clientLeft(Association a, long now);
 
-    /** What it would keep beyond its process: at most so many values that changed since it was last asked. Others keep nothing. */
+    /**
+     * What it would keep beyond its process: at most so many values that changed since it was last asked. Others keep
+     * nothing.
+     */
     default Kept changes(int most, long now) {
         return Kept.NOTHING;
     }
 
-    /** What an earlier process kept, weighed by its age, after the list; `unseen`: any backend of the list may be cold. */
-    default void remember(Kept kept, boolean unseen, long now) { }
+    /**
+     * What an earlier process kept, weighed by its age, after the list; `unseen`: any backend of the list may be cold.
+     */
+    default void remember(Kept kept, boolean unseen, long now) {}
 }
--- a/core/src/main/java/ambertrestle/decide/Entry.java
+++ b/core/src/main/java/ambertrestle/decide/Entry.java
@@ -18,6 +18,9 @@
     /** What of it outlives this process. */
     Kept.Pin pin() {
         boolean none = gone || backend == null;
-        return new Kept.Pin(key, none ? 0 : backend.id, none ? Kept.Pin.GONE : open.isEmpty() && endedAt > 0 ? endedAt : Kept.Pin.OPEN);
+        return new Kept.Pin(
+                key,
+                none ? 0 : backend.id,
+                none ? Kept.Pin.GONE : open.isEmpty() && endedAt > 0 ? endedAt : Kept.Pin.OPEN);
     }
 }
--- a/core/src/main/java/ambertrestle/decide/JobTicket.java
+++ b/core/src/main/java/ambertrestle/decide/JobTicket.java
@@ -17,7 +17,8 @@
 
     /** False where it is not there. */
     static boolean flag(Map<String, String> jobTicket, String name) {
-        return jobTicket.containsKey(name) && word(jobTicket, name, "true", "false").equals("true");
+        return jobTicket.containsKey(name)
+                && word(jobTicket, name, "true", "false").equals("true");
     }
 
     static double numberOr(Map<String, String> jobTicket, String name, double otherwise) {
@@ -27,8 +28,8 @@
     static String word(Map<String, String> jobTicket, String name, String... known) {
         String value = jobTicket.get(name);
         if (value == null || known.length > 0 && !java.util.Arrays.asList(known).contains(value)) {
-            throw new IllegalArgumentException("job ticket: " + name
-                    + (value == null ? " is missing" : " is not known: " + value));
+            throw new IllegalArgumentException(
+                    "job ticket: " + name + (value == null ? " is missing" : " is not known: " + value));
         }
         return value;
     }
@@ -37,8 +38,11 @@
     static double[] numbers(Map<String, String> jobTicket, String name) {
         String value = jobTicket.getOrDefault(name, "");
         try {
-            return value.isEmpty() ? new double[0]
-                    : java.util.Arrays.stream(value.split(",")).mapToDouble(Double::parseDouble).toArray();
+            return value.isEmpty()
+                    ? new double[0]
+                    : java.util.Arrays.stream(value.split(","))
+                            .mapToDouble(Double::parseDouble)
+                            .toArray();
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("job ticket: " + name + " is not a list of numbers: " + value);
         }
--- a/core/src/main/java/ambertrestle/decide/Ledger.java
+++ b/core/src/main/java/ambertrestle/decide/Ledger.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * Which backends and pins changed since this was last asked; decides nothing. Until it is first asked nobody keeps anything,
- * and it costs nothing. It holds each backend and pin once, however often it changed, so a taker that is slow costs no memory.
+ * Which backends and pins changed since this was last asked; decides nothing. Until it is first asked nobody keeps
+ * anything, and it costs nothing. It holds each backend and pin once, however often it changed, so a taker that is slow
+ * costs no memory.
  */
 final class Ledger {
     private LinkedHashSet<Backend> judged;
--- a/core/src/main/java/ambertrestle/recover/Aging.java
+++ b/core/src/main/java/ambertrestle/recover/Aging.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * What kept judgments are still worth: pure functions of their age, nothing else. A judgment weighs what it would in a relay
- * that had gone on and heard nothing more, so each kind fades as the module lets it fade; what a fleet carries is no
- * judgment of a moment and fades over hours. Times in nanoseconds.
+ * What kept judgments are still worth: pure functions of their age, nothing else. A judgment weighs what it would in a
+ * relay that had gone on and heard nothing more, so each kind fades as the module lets it fade; what a fleet carries is
+ * no judgment of a moment and fades over hours. Times in nanoseconds.
  */
 public final class Aging {
     private static final long SECOND = 1_000_000_000L, HOUR = 3_600 * SECOND;
@@ -20,11 +20,12 @@
     private static final long LATE = 30 * SECOND;
     /** As long as the module keeps a pin after its last connection. */
     private static final long PIN = 60 * SECOND;
+
     private static final long CARRIED_HALVES = HOUR, CARRIED = 24 * HOUR;
     /** Less than this is nothing. */
     private static final double LEAST = 1.0 / 256;
 
-    private Aging() { }
+    private Aging() {}
 
     private static double halved(long age, long half) {
         double left = age < 0 ? 0 : StrictMath.pow(0.5, (double) age / half);
@@ -52,8 +53,8 @@
     }
 
     /**
-     * All of it, as the module takes it back now. `keptAt`: when it was kept. Danger: what comes from the future, since a
-     * clock went back, has no age; it would never fade, so nothing of it is taken.
+     * All of it, as the module takes it back now. `keptAt`: when it was kept. Danger: what comes from the future, since
+     * a clock went back, has no age; it would never fade, so nothing of it is taken.
      */
     public static Kept weighed(Kept kept, long keptAt, long now) {
         if (keptAt > now) {
@@ -62,14 +63,26 @@
         Whole w = kept.whole();
         long age = now - keptAt;
         double carried = carried(age);
-        Whole whole = new Whole(w.ended() * carried, w.lived(), w.setUp() * carried, w.usual() * carried,
-                (int) (w.notes() * carried), (long) (w.pace() * doubt(age)));
+        Whole whole = new Whole(
+                w.ended() * carried,
+                w.lived(),
+                w.setUp() * carried,
+                w.usual() * carried,
+                (int) (w.notes() * carried),
+                (long) (w.pace() * doubt(age)));
         List<Judged> judged = new ArrayList<>(kept.backends().size());
         for (Judged j : kept.backends()) {
             double doubt = doubt(now - j.evidenceAt());
             boolean late = lateness(now - j.delayAt()) > 0;
-            judged.add(new Judged(j.backend(), j.startedAt(), now, j.good() * doubt, j.bad() * doubt, j.slow() * doubt,
-                    late ? j.delay() : 0, late ? j.delayAt() : Long.MIN_VALUE / 2,
+            judged.add(new Judged(
+                    j.backend(),
+                    j.startedAt(),
+                    now,
+                    j.good() * doubt,
+                    j.bad() * doubt,
+                    j.slow() * doubt,
+                    late ? j.delay() : 0,
+                    late ? j.delayAt() : Long.MIN_VALUE / 2,
                     j.heardAt() > now ? 0 : j.heardAt()));
         }
         List<Pin> pins = new ArrayList<>();
--- a/core/src/main/java/ambertrestle/ticket/Ticket.java
+++ b/core/src/main/java/ambertrestle/ticket/Ticket.java
@@ -6,23 +6,38 @@
 
 /** Turns the settings that both hosts are given into the job ticket: house names, times in nanoseconds. */
 public final class Ticket {
-    private static final Map<String, String> NAMES = Map.of("repeat", "effect", "dedupScope", "scope",
-            "siblings", "relays", "mostDispatches", "dispatches", "via", "how", "repeats", "effects",
-            "streaming", "streams");
-    private static final Map<String, String> WORDS = Map.of("idempotent", "retriable", "deduplicated",
-            "fingerprinted", "at_most_once", "binding");
+    private static final Map<String, String> NAMES = Map.of(
+            "repeat",
+            "effect",
+            "dedupScope",
+            "scope",
+            "siblings",
+            "relays",
+            "mostDispatches",
+            "dispatches",
+            "via",
+            "how",
+            "repeats",
+            "effects",
+            "streaming",
+            "streams");
+    private static final Map<String, String> WORDS =
+            Map.of("idempotent", "retriable", "deduplicated", "fingerprinted", "at_most_once", "binding");
 
     private Ticket() {}
 
     public static Map<String, String> read(byte[] text) {
         Map<String, String> ticket = new HashMap<>();
         String all = new String(text, StandardCharsets.UTF_8);
-        for (int from = 0; from < all.length();) {
+        for (int from = 0; from < all.length(); ) {
             int end = all.indexOf('\n', from);
             end = end < 0 ? all.length() : end;
             int sign = all.indexOf('=', from);
             if (sign > from && sign < end) {
-                put(ticket, all.substring(from, sign), all.substring(sign + 1, end).strip());
+                put(
+                        ticket,
+                        all.substring(from, sign),
+                        all.substring(sign + 1, end).strip());
             }
             from = end + 1;
         }
@@ -46,7 +61,7 @@
     /** One number or several with commas between, from microseconds; what is no number stays as it is. */
     private static String nanos(String value) {
         StringBuilder out = new StringBuilder();
-        for (int from = 0; from <= value.length();) {
+        for (int from = 0; from <= value.length(); ) {
             int end = value.indexOf(',', from);
             end = end < 0 ? value.length() : end;
             String part = value.substring(from, end);
--- a/core/src/test/java/ambertrestle/FleetTest.java
+++ b/core/src/test/java/ambertrestle/FleetTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A hundred relays on one virtual clock, each alone: half of the backends are replaced while all relays restart, a tenth
- * at a time. What is harmless in one relay but not in all shows in the sums here, never in one relay's answers.
+ * A hundred relays on one virtual clock, each alone: half of the backends are replaced while all relays restart, a
+ * tenth at a time. What is harmless in one relay but not in all shows in the sums here, never in one relay's answers.
  */
 class FleetTest {
     private static final int RELAYS = 100, OLD = 28, GROUPS = 28, STANDING = 420;
@@ -28,7 +28,9 @@
     /** Set-ups a second that a warm backend bears; the settings allow three times that, for three seconds. */
     private static final double BEARS = 1.2;
 
-    /** One client: its group, the backend that holds it, the relay that its packets pass, and that relay's association. */
+    /**
+     * One client: its group, the backend that holds it, the relay that its packets pass, and that relay's association.
+     */
     private static final class Client {
         final long key;
         final long group;
@@ -42,15 +44,17 @@
         }
     }
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
     private final Scene s = new Scene();
-    private final PriorityQueue<Due> agenda = new PriorityQueue<>((x, y) -> x.at != y.at ? Long.compare(x.at, y.at) : Long.compare(x.order, y.order));
+    private final PriorityQueue<Due> agenda =
+            new PriorityQueue<>((x, y) -> x.at != y.at ? Long.compare(x.at, y.at) : Long.compare(x.order, y.order));
     private final Balancer[] relays = new Balancer[RELAYS];
     private final TreeMap<Long, Listed> roster = new TreeMap<>();
     private final List<Client> clients = new ArrayList<>();
     /** When each backend was sent what it did not hold already, and when it began; by id. */
     private final TreeMap<Long, List<Long>> sent = new TreeMap<>();
+
     private final long start = s.now;
     private SplittableRandom deal;
     private long orders;
@@ -104,7 +108,11 @@
         in(0.5, () -> Arrays.stream(relays).forEach(r -> r.roster(List.of(roster.get(id)), false, false, s.now)));
         if (stage == Stage.DRAINING) {
             for (int i = 0; i < 20; i++) {
-                in(0.5 + i / 10.0, () -> clients.stream().filter(c -> c.open != null && c.backend == id).limit(4).toList().forEach(this::leaves));
+                in(0.5 + i / 10.0, () -> clients.stream()
+                        .filter(c -> c.open != null && c.backend == id)
+                        .limit(4)
+                        .toList()
+                        .forEach(this::leaves));
             }
         }
     }
@@ -114,7 +122,10 @@
             int relay = r;
             relays[r] = new Balancer(s.ticket, deal.nextLong(), s.now);
             relays[r].roster(List.copyOf(roster.values()), true, false, s.now);
-            clients.stream().filter(c -> c.open != null && c.relay == relay).toList().forEach(c -> arrives(c, true, false));
+            clients.stream()
+                    .filter(c -> c.open != null && c.relay == relay)
+                    .toList()
+                    .forEach(c -> arrives(c, true, false));
         }
     }
 
@@ -174,14 +185,25 @@
         }
     }
 
-    /** Of those sent within the three seconds up to each one; the settings allow N then, and three roots of it and three for chance. */
+    /**
+     * Of those sent within the three seconds up to each one; the settings allow N then, and three roots of it and three
+     * for chance.
+     */
     private double worstOverAllowed(long id) {
         long began = roster.get(id).startedAt();
-        List<Long> times = sent.getOrDefault(id, List.of()).stream().filter(t -> t - began < 10_000 * MS).toList();
-        return times.stream().mapToDouble(t -> {
-            double allowed = 3 * BEARS * 3 * (0.2 + 0.8 * (t - began) / (10_000 * MS));
-            return times.stream().filter(x -> x > t - 3_000 * MS && x <= t).count() / (allowed + 3 * Math.sqrt(allowed) + 3);
-        }).max().orElse(0);
+        List<Long> times = sent.getOrDefault(id, List.of()).stream()
+                .filter(t -> t - began < 10_000 * MS)
+                .toList();
+        return times.stream()
+                .mapToDouble(t -> {
+                    double allowed = 3 * BEARS * 3 * (0.2 + 0.8 * (t - began) / (10_000 * MS));
+                    return times.stream()
+                                    .filter(x -> x > t - 3_000 * MS && x <= t)
+                                    .count()
+                            / (allowed + 3 * Math.sqrt(allowed) + 3);
+                })
+                .max()
+                .orElse(0);
     }
 
     /** Found on the roll day: three of 5,183 dispatches went to the fresh half, the old half got all and was late. */
@@ -189,16 +211,29 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void theFreshHalfGetsItsPartInTimeAndNoneIsPushedOver(long seed) {
         play(seed);
-        long[] fresh = IntStream.range(OLD + 1, OLD + OLD / 2 + 1).asLongStream().toArray();
-        long served = Arrays.stream(fresh).filter(id -> sent.getOrDefault(id, List.of()).stream()
-                .anyMatch(t -> t - roster.get(id).startedAt() < 10_000 * MS)).count();
-        assertThat(served).as("of 14 fresh backends, those that got anything while cold").isGreaterThan(8);
+        long[] fresh =
+                IntStream.range(OLD + 1, OLD + OLD / 2 + 1).asLongStream().toArray();
+        long served = Arrays.stream(fresh)
+                .filter(id -> sent.getOrDefault(id, List.of()).stream()
+                        .anyMatch(t -> t - roster.get(id).startedAt() < 10_000 * MS))
+                .count();
+        assertThat(served)
+                .as("of 14 fresh backends, those that got anything while cold")
+                .isGreaterThan(8);
         // The sum follows the flow, not a count: of 40 seeds the median was 0.74, the worst 1.20, five were over 1.
-        assertThat(Arrays.stream(fresh).mapToDouble(this::worstOverAllowed).max().orElse(0)).as("worst sum over what is allowed at the least").isLessThan(1.25);
-        long onFresh = clients.stream().filter(c -> c.open != null && c.backend > OLD).count();
+        assertThat(Arrays.stream(fresh)
+                        .mapToDouble(this::worstOverAllowed)
+                        .max()
+                        .orElse(0))
+                .as("worst sum over what is allowed at the least")
+                .isLessThan(1.25);
+        long onFresh =
+                clients.stream().filter(c -> c.open != null && c.backend > OLD).count();
         long standing = clients.stream().filter(c -> c.open != null).count();
         assertThat(standing).isGreaterThan(STANDING - 20);
-        assertThat((double) onFresh / standing).as("held by the fresh half some seconds after").isBetween(0.22, 0.7);
+        assertThat((double) onFresh / standing)
+                .as("held by the fresh half some seconds after")
+                .isBetween(0.22, 0.7);
         assertThat(moves).as("connections asked to leave, of 420").isLessThan(420);
     }
 }
--- a/core/src/test/java/ambertrestle/KeptTest.java
+++ b/core/src/test/java/ambertrestle/KeptTest.java
@@ -30,15 +30,30 @@
     @Test
     void whatAJudgmentWeighsAfterAMinuteAnHourAndADay() throws Exception {
         long now = 200_000 * SECOND;
-        s.trace.append(String.format("%-10s %9s %9s %9s %9s %9s %9s %9s%n", "age", "doubt", "lateness", "carried", "pin", "failed 8", "ended 50", "pins 2"));
+        s.trace.append(String.format(
+                "%-10s %9s %9s %9s %9s %9s %9s %9s%n",
+                "age", "doubt", "lateness", "carried", "pin", "failed 8", "ended 50", "pins 2"));
         for (long age : new long[] {0, 1, 4, 20, 60, 300, 3_600, 86_400, -5}) {
             long at = now - age * SECOND;
-            Kept kept = Aging.weighed(new Kept(1, new Whole(50, 10 * SECOND, 9 * Scene.MS, 3, 64, 0),
-                    List.of(new Judged(5, 0, at, 2, 8, 4, 40 * Scene.MS, at, 0)),
-                    List.of(new Pin(7, 5, Pin.OPEN), new Pin(8, 5, at)), false), at, now);
-            s.trace.append(String.format("%7d s  %9.4f %9.4f %9.4f %9.4f %9.4f %9.4f %9d%n", age, Aging.doubt(age * SECOND), Aging.lateness(age * SECOND),
-                    Aging.carried(age * SECOND), Aging.pin(age * SECOND), kept.backends().isEmpty() ? 0 : kept.backends().get(0).bad(),
-                    kept.whole().ended(), kept.pins().size()));
+            Kept kept = Aging.weighed(
+                    new Kept(
+                            1,
+                            new Whole(50, 10 * SECOND, 9 * Scene.MS, 3, 64, 0),
+                            List.of(new Judged(5, 0, at, 2, 8, 4, 40 * Scene.MS, at, 0)),
+                            List.of(new Pin(7, 5, Pin.OPEN), new Pin(8, 5, at)),
+                            false),
+                    at,
+                    now);
+            s.trace.append(String.format(
+                    "%7d s  %9.4f %9.4f %9.4f %9.4f %9.4f %9.4f %9d%n",
+                    age,
+                    Aging.doubt(age * SECOND),
+                    Aging.lateness(age * SECOND),
+                    Aging.carried(age * SECOND),
+                    Aging.pin(age * SECOND),
+                    kept.backends().isEmpty() ? 0 : kept.backends().get(0).bad(),
+                    kept.whole().ended(),
+                    kept.pins().size()));
         }
         s.matches("aging");
     }
@@ -92,7 +107,11 @@
         s.stands("a");
         Kept kept = s.balancer().changes(100, s.now);
         later.at(1000).roster("1 2 3 4");
-        later.balancer().remember(new Kept(kept.table() + 1, kept.whole(), kept.backends(), kept.pins(), false), false, later.now);
+        later.balancer()
+                .remember(
+                        new Kept(kept.table() + 1, kept.whole(), kept.backends(), kept.pins(), false),
+                        false,
+                        later.now);
         assertThat(later.ask("b", 77).backend).isEqualTo(first);
         Scene old = new Scene();
         old.at(61_000).roster("1 2 3 4");
@@ -103,7 +122,8 @@
     /** Danger: what comes from a clock that went back would never fade. */
     @Test
     void nothingIsTakenFromTheFuture() {
-        Kept kept = new Kept(1, Whole.NOTHING, List.of(new Judged(1, 0, 5, 0, 9, 0, 0, 0, 0)), List.of(new Pin(1, 1, 4)), false);
+        Kept kept = new Kept(
+                1, Whole.NOTHING, List.of(new Judged(1, 0, 5, 0, 9, 0, 0, 0, 0)), List.of(new Pin(1, 1, 4)), false);
         assertThat(Aging.weighed(kept, 10, 9)).isEqualTo(Kept.NOTHING);
     }
 
@@ -132,7 +152,9 @@
         }
     }
 
-    /** Many relays with equally old lists: together no more than the rule lets reach a backend that has just started. */
+    /**
+     * Many relays with equally old lists: together no more than the rule lets reach a backend that has just started.
+     */
     @Test
     void relaysThatBeginWithAnOldListDoNotFloodWhatMayHaveJustStarted() {
         s.ticket.put("relays", "20");
@@ -143,7 +165,11 @@
             r.ticket.put("relays", "20");
             r.at(3_600_000).roster("1 2 3 4");
             // It carried 2 a second, so each of the four backends half a one, and 20 relays 10 a second.
-            r.balancer().remember(new Kept(0, new Whole(22, 10 * SECOND, 0, 0, 0, 0), List.of(), List.of(), false), true, r.now);
+            r.balancer()
+                    .remember(
+                            new Kept(0, new Whole(22, 10 * SECOND, 0, 0, 0, 0), List.of(), List.of(), false),
+                            true,
+                            r.now);
             for (int ms = 0; ms < 3000; ms += 10) {
                 r.at(3_600_000 + ms);
                 String name = "c" + ms;
@@ -153,7 +179,8 @@
                 }
             }
         }
-        // Cold from 0.2, three times that, over a fall of 3 s, warming to 0.44 meanwhile; DONE at once raises what counts as carried.
+        // Cold from 0.2, three times that, over a fall of 3 s, warming to 0.44 meanwhile; DONE at once raises what
+        // counts as carried.
         assertThat(sent).isGreaterThan(4 * 5).isLessThan(20 * 2 * 3 * 3);
     }
 
@@ -171,7 +198,11 @@
     @Test
     void backendsThatAreGoneTeachAndDoNotUseUpAnAssociationsDispatches() {
         later.at(0).roster("1 2 3 4 5 6 7 8");
-        later.balancer().remember(new Kept(0, new Whole(5000, 10 * SECOND, 0, 0, 0, 0), List.of(), List.of(), false), true, later.now);
+        later.balancer()
+                .remember(
+                        new Kept(0, new Whole(5000, 10 * SECOND, 0, 0, 0, 0), List.of(), List.of(), false),
+                        true,
+                        later.now);
         later.at(100);
         int tried = 1;
         Answer answer = later.ask("a", 77);
@@ -228,12 +259,15 @@
         assertThat(s.balancer().changes(7, s.now).pins()).isEmpty();
         s.after("c3", Outcome.DONE, true);
         s.at(80_000).after("d3", Outcome.DONE, true);
-        assertThat(s.balancer().changes(100, s.now).pins()).containsExactly(new Pin(503, s.held.get("d3").sentTo[0], s.now));
+        assertThat(s.balancer().changes(100, s.now).pins())
+                .containsExactly(new Pin(503, s.held.get("d3").sentTo[0], s.now));
         s.at(200_000).chores();
         assertThat(s.balancer().changes(100, s.now).pins()).containsExactly(new Pin(503, 0, Pin.GONE));
     }
 
-    /** Danger: a picture taken at once would hold up the loop. A part takes what a part takes, whatever there is in all. */
+    /**
+     * Danger: a picture taken at once would hold up the loop. A part takes what a part takes, whatever there is in all.
+     */
     @Test
     void aLargeStateIsTakenInPartsThatAreNoLargerForIt() {
         StringBuilder list = new StringBuilder("1");
@@ -241,8 +275,14 @@
             list.append(' ').append(b);
         }
         s.roster(list.toString());
-        Kept all = new Kept(s.balancer().changes(1, s.now).table(), Whole.NOTHING, List.of(), java.util.stream.LongStream.rangeClosed(1, 60_000)
-                .mapToObj(k -> new Pin(k, 1 + k % 2000, s.now)).toList(), false);
+        Kept all = new Kept(
+                s.balancer().changes(1, s.now).table(),
+                Whole.NOTHING,
+                List.of(),
+                java.util.stream.LongStream.rangeClosed(1, 60_000)
+                        .mapToObj(k -> new Pin(k, 1 + k % 2000, s.now))
+                        .toList(),
+                false);
         Scene fresh = new Scene();
         fresh.roster(list.toString());
         fresh.balancer().remember(all, false, fresh.now);
--- a/core/src/test/java/ambertrestle/RulesTest.java
+++ b/core/src/test/java/ambertrestle/RulesTest.java
@@ -81,10 +81,15 @@
         for (int i = 0; i < 40; i++) {
             // A second failed set-up shows that the list was right about it; its doubt has faded by then.
             s.at(30_000 + i).ask("later" + i, 5);
-            s.after("later" + i, s.held.get("later" + i).sentTo[0] == first ? Outcome.NOT_CONNECTED : Outcome.DONE, true);
+            s.after(
+                    "later" + i,
+                    s.held.get("later" + i).sentTo[0] == first ? Outcome.NOT_CONNECTED : Outcome.DONE,
+                    true);
         }
-        assertThat(s.held.entrySet().stream().filter(e -> e.getKey().startsWith("later")
-                && e.getValue().sentTo[0] == first).count()).isEqualTo(1);
+        assertThat(s.held.entrySet().stream()
+                        .filter(e -> e.getKey().startsWith("later") && e.getValue().sentTo[0] == first)
+                        .count())
+                .isEqualTo(1);
         assertThat(s.at(31_000).roster("1 2 3").ask("listed again", 5).kind).isEqualTo(Kind.SEND);
     }
 
--- a/core/src/test/java/ambertrestle/Scene.java
+++ b/core/src/test/java/ambertrestle/Scene.java
@@ -37,7 +37,8 @@
         String[] effects = {"retriable", "fingerprinted", "binding"};
         for (int u = 0; u < 3; u++) {
             lines += "useCases.U.goalTime=400000000 useCases.U.cutOff=2000000000 useCases.U.scope=zone "
-                    .replace("U", "" + u) + "useCases." + u + ".window=500000000 useCases." + u + ".effect="
+                            .replace("U", "" + u)
+                    + "useCases." + u + ".window=500000000 useCases." + u + ".effect="
                     + effects[u] + " ";
         }
         for (String line : lines.split(" ")) {
@@ -70,9 +71,14 @@
             String[] begun = stage[0].split("@");
             String[] size = begun[0].split("\\*");
             int id = Integer.parseInt(size[0]);
-            list.add(new Listed(id, Listed.Stage.valueOf(stage.length > 1 ? stage[1].toUpperCase() : "READY"),
-                    begun.length > 1 ? start + Long.parseLong(begun[1]) * MS : 0, 0,
-                    size.length > 1 ? Double.parseDouble(size[1]) : 1, id % 2, 0));
+            list.add(new Listed(
+                    id,
+                    Listed.Stage.valueOf(stage.length > 1 ? stage[1].toUpperCase() : "READY"),
+                    begun.length > 1 ? start + Long.parseLong(begun[1]) * MS : 0,
+                    0,
+                    size.length > 1 ? Double.parseDouble(size[1]) : 1,
+                    id % 2,
+                    0));
         }
         balancer().roster(list, true, false, now);
         return this;
@@ -124,12 +130,13 @@
     }
 
     private Answer written(String name, Answer answer) {
-        say(name + ": " + answer.kind + switch (answer.kind) {
-            case SEND -> " to " + answer.backend + " within " + answer.time / MS + " ms";
-            case WAIT -> " until " + (answer.time - start) / MS + " ms";
-            case SHED -> ", back in " + answer.time / MS + " ms";
-            default -> "";
-        });
+        say(name + ": " + answer.kind
+                + switch (answer.kind) {
+                    case SEND -> " to " + answer.backend + " within " + answer.time / MS + " ms";
+                    case WAIT -> " until " + (answer.time - start) / MS + " ms";
+                    case SHED -> ", back in " + answer.time / MS + " ms";
+                    default -> "";
+                });
         return answer;
     }
 
--- a/core/src/test/java/ambertrestle/TroubleTest.java
+++ b/core/src/test/java/ambertrestle/TroubleTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import ambertrestle.decide.Answer.Kind;
 import ambertrestle.decide.Association;
 import ambertrestle.decide.Balancer;
-import ambertrestle.decide.Answer.Kind;
 import ambertrestle.decide.Listed;
 import ambertrestle.decide.Outcome;
 import java.util.ArrayList;
@@ -116,8 +116,12 @@
             relay.trace.setLength(0);
         }
         for (Scene relay : new Scene[] {s, other}) {
-            s.say("group 70 lies on " + relay.held.values().stream().filter(a -> a.group == 70)
-                    .map(a -> a.sentTo[0]).sorted().toList());
+            s.say("group 70 lies on "
+                    + relay.held.values().stream()
+                            .filter(a -> a.group == 70)
+                            .map(a -> a.sentTo[0])
+                            .sorted()
+                            .toList());
         }
         s.matches("split");
     }
@@ -208,7 +212,9 @@
             calls[(int) ((relay.howLong(s.now).wakeAt - s.now) / (1000 * Scene.MS))]++;
         }
         assertThat(java.util.Arrays.stream(calls).max().getAsInt()).isLessThan(35);
-        assertThat(java.util.Arrays.stream(calls).limit(5).sum()).as("within the five seconds that they share").isEqualTo(100);
+        assertThat(java.util.Arrays.stream(calls).limit(5).sum())
+                .as("within the five seconds that they share")
+                .isEqualTo(100);
     }
 
     /** A watch is found silent after 3.2 s, and what it missed counts as told after six. */
@@ -222,7 +228,9 @@
             relay.rosterFailed(s.now);
             assertThat(relay.howLong(s.now).wakeAt - s.now).isLessThan(2_500 * Scene.MS);
             relay.rosterFailed(s.now);
-            assertThat(relay.howLong(s.now).wakeAt - s.now).as("later ones are spread wider").isGreaterThan(2_500 * Scene.MS);
+            assertThat(relay.howLong(s.now).wakeAt - s.now)
+                    .as("later ones are spread wider")
+                    .isGreaterThan(2_500 * Scene.MS);
         }
     }
 
@@ -276,7 +284,9 @@
             held[on]++;
             homes.add(group * 100 + on);
         }
-        assertThat(java.util.Arrays.stream(held).max().getAsInt()).as("the busiest, of 15 on the mean").isLessThan(38);
+        assertThat(java.util.Arrays.stream(held).max().getAsInt())
+                .as("the busiest, of 15 on the mean")
+                .isLessThan(38);
         assertThat(homes.size()).as("backends that hold one of the 28 groups").isLessThan(28 * 7);
     }
 
--- a/lab/src/main/java/ambertrestle/lab/bench/DecisionsBench.java
+++ b/lab/src/main/java/ambertrestle/lab/bench/DecisionsBench.java
@@ -35,8 +35,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a decision, a change of the roster and an opening through the reducer cost. Outside CI:
- * {@code java -cp 'lab/target/ambertrestle-lab.jar:lab/target/lib/*' org.openjdk.jmh.Main}.
+ * What a decision, a change of the roster and an opening through the reducer cost. Outside CI: {@code java -cp
+ * 'lab/target/ambertrestle-lab.jar:lab/target/lib/*' org.openjdk.jmh.Main}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -49,6 +49,7 @@
 
     @Param({"13", "1000", "10000"})
     public int backends;
+
     private Balancer balancer;
     private Reducer reducer;
     private RunSheet sheet;
@@ -58,10 +59,19 @@
 
     @Setup
     public void begin() throws Exception {
-        Scenario scenario = Scenario.read(Sheet.parse("bench.toml", "name = \"bench\"\n[[fleet]]\nname = \"s\"\ncount = " + backends
-                + "\n[[use-case]]\nname = \"open\"\n"));
-        sheet = RunSheet.read(Map.of(), RelayFile.make(scenario, "bench", "127.0.0.1:1", "127.0.0.1:2", 1,
-                new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
+        Scenario scenario = Scenario.read(Sheet.parse(
+                "bench.toml",
+                "name = \"bench\"\n[[fleet]]\nname = \"s\"\ncount = " + backends
+                        + "\n[[use-case]]\nname = \"open\"\n"));
+        sheet = RunSheet.read(
+                Map.of(),
+                RelayFile.make(
+                        scenario,
+                        "bench",
+                        "127.0.0.1:1",
+                        "127.0.0.1:2",
+                        1,
+                        new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
         balancer = new Balancer(sheet.values().jobTicket(), 1, now);
         List<Listed> listed = new ArrayList<>();
         List<RosterMessage.Line> lines = new ArrayList<>();
@@ -78,7 +88,8 @@
     @Benchmark
     public Object where() {
         now += 10_000;
-        Association a = new Association(++ids, 0, 0, ids * 0x9e3779b97f4a7c15L | 1, 0, now + 2_000 * MS, 0, false, false);
+        Association a =
+                new Association(++ids, 0, 0, ids * 0x9e3779b97f4a7c15L | 1, 0, now + 2_000 * MS, 0, false, false);
         Object answer = balancer.where(a, now);
         balancer.clientLeft(a, now);
         return answer;
@@ -98,7 +109,8 @@
         now += 100_000;
         long client = ++ids;
         tell(new Heard.Accepted(client));
-        byte[] raw = ("OPEN " + Long.toHexString(client) + " " + Long.toHexString(client * 0x9e3779b97f4a7c15L | 1) + " c=open,t=t,d=2000\r\n")
+        byte[] raw = ("OPEN " + Long.toHexString(client) + " " + Long.toHexString(client * 0x9e3779b97f4a7c15L | 1)
+                        + " c=open,t=t,d=2000\r\n")
                 .getBytes(StandardCharsets.UTF_8);
         long dialled = -client;
         tell(new Heard.ClientSaid(client, FromClient.decode(raw, sheet.names())));
--- a/lab/src/main/java/ambertrestle/lab/bench/KeptBench.java
+++ b/lab/src/main/java/ambertrestle/lab/bench/KeptBench.java
@@ -33,8 +33,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What keeping costs at 10,000 backends and 65,536 pins that have all changed: each part that the event loop gives, the worst of them
- * included, and what is done beside it. Outside CI: as {@link DecisionsBench}, with KeptBench at the end.
+ * What keeping costs at 10,000 backends and 65,536 pins that have all changed: each part that the event loop gives, the
+ * worst of them included, and what is done beside it. Outside CI: as {@link DecisionsBench}, with KeptBench at the end.
  */
 @State(Scope.Thread)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -51,9 +51,17 @@
 
     @Setup(Level.Iteration)
     public void begin() throws Exception {
-        Scenario scenario = Scenario.read(Sheet.parse("bench.toml", "name = \"bench\"\n[[fleet]]\nname = \"s\"\ncount = 1\n[[use-case]]\nname = \"open\"\n"));
-        RunSheet sheet = RunSheet.read(Map.of(), RelayFile.make(scenario, "bench", "127.0.0.1:1", "127.0.0.1:2", 1,
-                new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
+        Scenario scenario = Scenario.read(Sheet.parse(
+                "bench.toml", "name = \"bench\"\n[[fleet]]\nname = \"s\"\ncount = 1\n[[use-case]]\nname = \"open\"\n"));
+        RunSheet sheet = RunSheet.read(
+                Map.of(),
+                RelayFile.make(
+                        scenario,
+                        "bench",
+                        "127.0.0.1:1",
+                        "127.0.0.1:2",
+                        1,
+                        new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
         balancer = new Balancer(sheet.values().jobTicket(), 1, NOW);
         List<Listed> listed = new ArrayList<>();
         List<Judged> judged = new ArrayList<>();
@@ -68,7 +76,8 @@
         balancer.roster(listed, true, false, NOW);
         List<Pin> pins = new ArrayList<>();
         for (int p = 0; p < PINS; p++) {
-            pins.add(new Pin(p * 0x9e3779b97f4a7c15L | 1, judged.get(p % BACKENDS).backend(), NOW));
+            pins.add(new Pin(
+                    p * 0x9e3779b97f4a7c15L | 1, judged.get(p % BACKENDS).backend(), NOW));
         }
         all = new Kept(balancer.changes(1, NOW).table(), Kept.Whole.NOTHING, judged, pins, false);
         // A new one: its first call lists all, which a relay pays once, at its start and empty.
--- a/lab/src/main/java/ambertrestle/lab/policy/Baseline.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/Baseline.java
@@ -18,9 +18,9 @@
 import java.util.TreeMap;
 
 /**
- * What all policies that the module is compared with share: the list, the rules of effects and drains, time-outs and final
- * answers as the module gives them. They differ in {@link #pick} alone; none moves connections, and none keeps a cold
- * budget, so breaches of that rule are counted for them too.
+ * What all policies that the module is compared with share: the list, the rules of effects and drains, time-outs and
+ * final answers as the module gives them. They differ in {@link #pick} alone; none moves connections, and none keeps a
+ * cold budget, so breaches of that rule are counted for them too.
  */
 abstract class Baseline implements Decisions {
     private static final long MS = 1_000_000L;
@@ -56,7 +56,8 @@
         mostDispatches = (int) Double.parseDouble(ticket.get("limits.dispatches"));
         drainGrace = (long) Double.parseDouble(ticket.get("rules.drainGrace"));
         comeBack = "true".equals(ticket.get("limits.retryAfter"))
-                ? (long) Double.parseDouble(ticket.get("limits.maxRetryAfter")) : 0;
+                ? (long) Double.parseDouble(ticket.get("limits.maxRetryAfter"))
+                : 0;
         watchAt = now;
     }
 
@@ -69,7 +70,7 @@
     }
 
     /** The list changed. */
-    void listed(List<Server> members) { }
+    void listed(List<Server> members) {}
 
     @Override
     public Answer where(Association a, long now) {
@@ -79,24 +80,28 @@
         UseCase u = useCases.get(a.useCase);
         if (now < a.cutOff && a.dispatches < mostDispatches) {
             List<Server> fit = servers.values().stream()
-                    .filter(s -> s.stage == Stage.READY && !a.tried(s.id) && repeatable(a, u, s, now)).toList();
+                    .filter(s -> s.stage == Stage.READY && !a.tried(s.id) && repeatable(a, u, s, now))
+                    .toList();
             if (!fit.isEmpty()) {
                 Server s = pick(a, fit);
                 a.sent(s.id, now);
                 s.held++;
-                return new Answer(Kind.SEND, s.id, a.dispatches >= mostDispatches ? a.cutOff - now : time(a, u.goal(), now));
+                return new Answer(
+                        Kind.SEND, s.id, a.dispatches >= mostDispatches ? a.cutOff - now : time(a, u.goal(), now));
             }
         }
         a.closed = true;
         return u.effect() == Effect.RETRIABLE || u.scope() == UseCase.Scope.ALL || a.neverRan()
-                ? new Answer(Kind.SHED, 0, comeBack) : Answer.FORFEIT;
+                ? new Answer(Kind.SHED, 0, comeBack)
+                : Answer.FORFEIT;
     }
 
     private boolean repeatable(Association a, UseCase u, Server to, long now) {
         for (int d = 0; d < a.dispatches; d++) {
             boolean apart = u.scope() == UseCase.Scope.ZONE && servers.get(a.sentTo[d]).zone != to.zone;
-            if (a.fate[d] != Fate.NEVER_RAN && (u.effect() == Effect.BINDING
-                    || u.effect() == Effect.FINGERPRINTED && (apart || now - a.sentAt[d] >= u.window()))) {
+            if (a.fate[d] != Fate.NEVER_RAN
+                    && (u.effect() == Effect.BINDING
+                            || u.effect() == Effect.FINGERPRINTED && (apart || now - a.sentAt[d] >= u.window()))) {
                 return false;
             }
         }
@@ -164,10 +169,10 @@
     }
 
     @Override
-    public void loadNote(Association a, double load, long now) { }
+    public void loadNote(Association a, double load, long now) {}
 
     @Override
-    public void delayNote(long backend, long delay, long now) { }
+    public void delayNote(long backend, long delay, long now) {}
 
     @Override
     public void clientLeft(Association a, long now) {
--- a/lab/src/main/java/ambertrestle/lab/policy/Policies.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/Policies.java
@@ -14,7 +14,7 @@
 public final class Policies {
     public static final List<String> NAMES = List.of("module", "random", "least", "two", "maglev", "oracle");
 
-    private Policies() { }
+    private Policies() {}
 
     /** `sight` is the oracle's alone. */
     public static Decisions.Maker named(String name, Sight sight) {
@@ -25,8 +25,8 @@
             case "two" -> Two::new;
             case "maglev" -> PlainMaglev::new;
             case "oracle" -> (ticket, seed, now) -> new Oracle(ticket, seed, now, sight);
-            default -> throw new IllegalArgumentException("policy " + name + " is not known: expected one of "
-                    + String.join(", ", NAMES));
+            default -> throw new IllegalArgumentException(
+                    "policy " + name + " is not known: expected one of " + String.join(", ", NAMES));
         };
     }
 
@@ -49,8 +49,10 @@
 
         @Override
         Server pick(Association a, List<Server> fit) {
-            double least = fit.stream().mapToDouble(s -> s.held / s.weight).min().orElse(0);
-            List<Server> equal = fit.stream().filter(s -> s.held / s.weight == least).toList();
+            double least =
+                    fit.stream().mapToDouble(s -> s.held / s.weight).min().orElse(0);
+            List<Server> equal =
+                    fit.stream().filter(s -> s.held / s.weight == least).toList();
             return equal.get(chance.nextInt(equal.size()));
         }
     }
@@ -69,7 +71,9 @@
         }
     }
 
-    /** Maglev's table (Eisenbud et al., NSDI 2016) by group, else client, walked on from the key's slot; nothing else. */
+    /**
+     * Maglev's table (Eisenbud et al., NSDI 2016) by group, else client, walked on from the key's slot; nothing else.
+     */
     private static final class PlainMaglev extends Baseline {
         private static final int SLOTS = 65_537;
         private Server[] table = new Server[0];
@@ -113,13 +117,14 @@
     }
 
     /**
-     * Sees the true state and gives its dispatches all the time there is, since it knows who answers. Of the sound it takes
-     * the least busy that holds the group already and has room, else the one where the work waits least, with the queue,
-     * the work in hand and the group's price weighed together; a cold one only within half of its budget.
+     * Sees the true state and gives its dispatches all the time there is, since it knows who answers. Of the sound it
+     * takes the least busy that holds the group already and has room, else the one where the work waits least, with the
+     * queue, the work in hand and the group's price weighed together; a cold one only within half of its budget.
      */
     private static final class Oracle extends Baseline {
         /** Busier than this none gets more while another has room. */
         private static final double ROOM = 0.6;
+
         private static final double MS = 1e6, BUSY_COSTS = 100 * MS, GROUP_COSTS = 30 * MS;
         private final Sight sight;
 
@@ -135,16 +140,23 @@
 
         private double cost(Association a, Server s) {
             double busy = sight.busy(s.id);
-            return sight.waits(s.id) + BUSY_COSTS * busy / Math.max(0.05, 1 - busy) + (sight.holds(s.id, a.group) ? 0 : GROUP_COSTS);
+            return sight.waits(s.id)
+                    + BUSY_COSTS * busy / Math.max(0.05, 1 - busy)
+                    + (sight.holds(s.id, a.group) ? 0 : GROUP_COSTS);
         }
 
         @Override
         Server pick(Association a, List<Server> fit) {
-            List<Server> sound = fit.stream().filter(s -> sight.serves(s.id) && sight.coldSpent(s.id) < 0.5).toList();
+            List<Server> sound = fit.stream()
+                    .filter(s -> sight.serves(s.id) && sight.coldSpent(s.id) < 0.5)
+                    .toList();
             List<Server> from = sound.isEmpty() ? fit : sound;
-            return from.stream().filter(s -> sight.holds(s.id, a.group) && sight.busy(s.id) < ROOM && sight.waits(s.id) < 20 * MS)
+            return from.stream()
+                    .filter(s -> sight.holds(s.id, a.group) && sight.busy(s.id) < ROOM && sight.waits(s.id) < 20 * MS)
                     .min(Comparator.comparingDouble(s -> sight.busy(s.id)))
-                    .orElseGet(() -> from.stream().min(Comparator.comparingDouble(s -> cost(a, s))).orElseThrow());
+                    .orElseGet(() -> from.stream()
+                            .min(Comparator.comparingDouble(s -> cost(a, s)))
+                            .orElseThrow());
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/report/Page.java
+++ b/lab/src/main/java/ambertrestle/lab/report/Page.java
@@ -14,14 +14,22 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One page of HTML that needs nothing beside it: a table of the figures, and plots a second with the troubles drawn in. */
+/**
+ * One page of HTML that needs nothing beside it: a table of the figures, and plots a second with the troubles drawn in.
+ */
 public final class Page {
-    private record Plot(String title, String unit, List<Series> series) { }
+    private record Plot(String title, String unit, List<Series> series) {}
 
     private static final List<Plot> PLOTS = List.of(
             new Plot("Benefit", "a second", List.of(Series.OFFERED, Series.BENEFIT)),
-            new Plot("Answers by kind", "a second", List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED)),
-            new Plot("Opens, reconnects and dispatches", "a second", List.of(Series.OPENS, Series.RETURNS, Series.DISPATCHES)),
+            new Plot(
+                    "Answers by kind",
+                    "a second",
+                    List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED)),
+            new Plot(
+                    "Opens, reconnects and dispatches",
+                    "a second",
+                    List.of(Series.OPENS, Series.RETURNS, Series.DISPATCHES)),
             new Plot("Dispatches to backends that are cold", "a second", List.of(Series.TO_FRESH)),
             new Plot("Ends of open connections", "a second", List.of(Series.DONE, Series.MOVED, Series.BROKEN)),
             new Plot("Open at backends, and in flight", "connections", List.of(Series.OPEN, Series.WAITING)),
@@ -29,49 +37,79 @@
             new Plot("Queues at backends", "ms", List.of(Series.WORST_WAIT, Series.MEAN_WAIT)),
             new Plot("Lines", "a second", List.of(Series.LINES, Series.LATE_LINES)));
 
-    private Page() { }
+    private Page() {}
 
     public static String of(JsonObject summary, List<Result> results) throws IOException {
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-                .append(text(summary.getString("scenario"))).append("</title><style>body{font:15px sans-serif;margin:2em;max-width:1100px}"
+                .append(text(summary.getString("scenario")))
+                .append("</title><style>body{font:15px sans-serif;margin:2em;max-width:1100px}"
                         + "table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:3px 9px;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}.broken{color:#b00}</style></head><body><h1>")
-                .append(text(summary.getString("scenario"))).append("</h1><p>").append(text(summary.getString("says", "")))
-                .append("</p><p>Played as: ").append(text(summary.getString("mode"))).append("</p>");
+                .append(text(summary.getString("scenario")))
+                .append("</h1><p>")
+                .append(text(summary.getString("says", "")))
+                .append("</p><p>Played as: ")
+                .append(text(summary.getString("mode")))
+                .append("</p>");
         table(page, summary, results);
         for (Result r : firstOfEach(results)) {
-            page.append("<h2>").append(text(r.policy())).append(", seed ").append(r.seed()).append("</h2><ul>");
+            page.append("<h2>")
+                    .append(text(r.policy()))
+                    .append(", seed ")
+                    .append(r.seed())
+                    .append("</h2><ul>");
             r.happened().forEach(line -> page.append("<li>").append(text(line)).append("</li>"));
             page.append("</ul>");
             for (int i = 0; i < r.figures().getJsonArray("first breaches").size(); i++) {
-                page.append("<p class=\"broken\">").append(text(r.figures().getJsonArray("first breaches").getString(i))).append("</p>");
+                page.append("<p class=\"broken\">")
+                        .append(text(r.figures().getJsonArray("first breaches").getString(i)))
+                        .append("</p>");
             }
             for (Plot plot : PLOTS) {
-                page.append("<p><img alt=\"").append(plot.title).append("\" src=\"data:image/png;base64,")
-                        .append(Base64.getEncoder().encodeToString(png(plot, r))).append("\"></p>");
+                page.append("<p><img alt=\"")
+                        .append(plot.title)
+                        .append("\" src=\"data:image/png;base64,")
+                        .append(Base64.getEncoder().encodeToString(png(plot, r)))
+                        .append("\"></p>");
             }
         }
         return page.append("</body></html>\n").toString();
     }
 
     private static List<Result> firstOfEach(List<Result> results) {
-        return results.stream().filter(r -> results.stream().filter(o -> o.policy().equals(r.policy())).findFirst().get() == r).toList();
+        return results.stream()
+                .filter(r -> results.stream()
+                                .filter(o -> o.policy().equals(r.policy()))
+                                .findFirst()
+                                .get()
+                        == r)
+                .toList();
     }
 
     private static void table(StringBuilder page, JsonObject summary, List<Result> results) {
-        page.append("<table><tr><th>policy</th><th>seed</th><th>share of benefit</th><th>rules</th><th>up</th><th>shed</th>"
-                + "<th>forfeited</th><th>no answer</th><th>moved</th><th>broken</th><th>opening p50, p99 ms</th><th>line p50, p99 ms</th></tr>");
+        page.append(
+                "<table><tr><th>policy</th><th>seed</th><th>share of benefit</th><th>rules</th><th>up</th><th>shed</th>"
+                        + "<th>forfeited</th><th>no answer</th><th>moved</th><th>broken</th><th>opening p50, p99 ms</th><th>line p50, p99 ms</th></tr>");
         for (Result r : results) {
             JsonObject f = r.figures();
             JsonObject answers = f.getJsonObject("answers");
-            page.append("<tr><td>").append(text(r.policy())).append("</td><td>").append(r.seed()).append("</td><td>")
-                    .append(String.format(Locale.ROOT, "%.4f", r.share())).append(r.whole() ? "" : " (cut short)").append(r.starved() ? " (starved of CPU: no result)" : "")
+            page.append("<tr><td>")
+                    .append(text(r.policy()))
+                    .append("</td><td>")
+                    .append(r.seed())
+                    .append("</td><td>")
+                    .append(String.format(Locale.ROOT, "%.4f", r.share()))
+                    .append(r.whole() ? "" : " (cut short)")
+                    .append(r.starved() ? " (starved of CPU: no result)" : "")
                     .append(r.rulesKept() ? "</td><td>kept" : "</td><td class=\"broken\">broken");
             for (Series s : List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.MOVED, Series.BROKEN)) {
                 page.append("</td><td>").append(answers.getLong(s.says));
             }
             for (String h : List.of("opening, ms", "line, ms")) {
-                page.append("</td><td>").append(f.getJsonObject(h).getDouble("p50")).append(", ").append(f.getJsonObject(h).getDouble("p99"));
+                page.append("</td><td>")
+                        .append(f.getJsonObject(h).getDouble("p50"))
+                        .append(", ")
+                        .append(f.getJsonObject(h).getDouble("p99"));
             }
             page.append("</td></tr>");
         }
@@ -79,9 +117,17 @@
     }
 
     private static byte[] png(Plot plot, Result r) throws IOException {
-        XYChart chart = new XYChartBuilder().width(1000).height(260).title(plot.title).xAxisTitle("seconds").yAxisTitle(plot.unit).build();
+        XYChart chart = new XYChartBuilder()
+                .width(1000)
+                .height(260)
+                .title(plot.title)
+                .xAxisTitle("seconds")
+                .yAxisTitle(plot.unit)
+                .build();
         chart.getStyler().setXAxisDecimalPattern("0").setMarkerSize(0);
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE).setChartBackgroundColor(Color.WHITE)
+        chart.getStyler()
+                .setLegendPosition(Styler.LegendPosition.OutsideE)
+                .setChartBackgroundColor(Color.WHITE)
                 .setAnnotationLineColor(new Color(190, 40, 40));
         for (Series s : plot.series) {
             double[] values = r.meter().series(s);
@@ -92,12 +138,18 @@
             chart.addSeries(s.says, seconds, values).setMarker(SeriesMarkers.NONE);
         }
         for (String line : r.happened()) {
-            chart.addAnnotation(new AnnotationLine(Double.parseDouble(line.substring(0, line.indexOf(' '))), true, false));
+            chart.addAnnotation(
+                    new AnnotationLine(Double.parseDouble(line.substring(0, line.indexOf(' '))), true, false));
         }
         return BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
     }
 
     private static String text(String plain) {
-        return plain == null ? "" : plain.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return plain == null
+                ? ""
+                : plain.replace("&", "&amp;")
+                        .replace("<", "&lt;")
+                        .replace(">", "&gt;")
+                        .replace("\"", "&quot;");
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/report/Summary.java
+++ b/lab/src/main/java/ambertrestle/lab/report/Summary.java
@@ -13,37 +13,58 @@
 /** All runs of one scenario: the figures of each, and of each policy over its seeds. */
 public final class Summary {
     /** Student's t for 95%, two-sided, by degrees of freedom from 1 on; beyond the last about two. */
-    private static final double[] T = {12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
-        2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086};
+    private static final double[] T = {
+        12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
+        2.110, 2.101, 2.093, 2.086
+    };
 
-    private Summary() { }
+    private Summary() {}
 
     public static JsonObject of(String scenario, String mode, List<Result> all) {
         List<Result> results = all.stream().filter(r -> !r.starved()).toList();
         JsonObject policies = new JsonObject();
         Map<String, List<Double>> shares = shares(results);
-        shares.forEach((policy, list) -> policies.put(policy, new JsonObject().put("seeds", list.size())
-                .put("share, mean", Result.round(mean(list))).put("share, standard deviation", Result.round(deviation(list)))
-                .put("share, least", list.stream().mapToDouble(x -> x).min().orElse(0))
-                .put("share, most", list.stream().mapToDouble(x -> x).max().orElse(0))
-                .put("rules kept", results.stream().filter(r -> r.policy().equals(policy)).allMatch(Result::rulesKept))));
+        shares.forEach((policy, list) -> policies.put(
+                policy,
+                new JsonObject()
+                        .put("seeds", list.size())
+                        .put("share, mean", Result.round(mean(list)))
+                        .put("share, standard deviation", Result.round(deviation(list)))
+                        .put(
+                                "share, least",
+                                list.stream().mapToDouble(x -> x).min().orElse(0))
+                        .put(
+                                "share, most",
+                                list.stream().mapToDouble(x -> x).max().orElse(0))
+                        .put(
+                                "rules kept",
+                                results.stream()
+                                        .filter(r -> r.policy().equals(policy))
+                                        .allMatch(Result::rulesKept))));
         double oracle = mean(shares.getOrDefault("oracle", List.of()));
         double random = mean(shares.getOrDefault("random", List.of()));
         if (oracle > 0) {
             shares.forEach((policy, list) -> {
-                JsonObject figures = policies.getJsonObject(policy).put("of the oracle's", Result.round(mean(list) / oracle));
+                JsonObject figures =
+                        policies.getJsonObject(policy).put("of the oracle's", Result.round(mean(list) / oracle));
                 if (random > 0 && oracle - random > 0.001) {
-                    figures.put("between random (0) and the oracle (1)", Result.round((mean(list) - random) / (oracle - random)));
+                    figures.put(
+                            "between random (0) and the oracle (1)",
+                            Result.round((mean(list) - random) / (oracle - random)));
                 }
             });
         }
-        return new JsonObject().put("scenario", scenario).put("mode", mode).put("policies", policies)
+        return new JsonObject()
+                .put("scenario", scenario)
+                .put("mode", mode)
+                .put("policies", policies)
                 .put("runs", new JsonArray(all.stream().map(Result::figures).toList()));
     }
 
     private static Map<String, List<Double>> shares(List<Result> results) {
         Map<String, List<Double>> shares = new LinkedHashMap<>();
-        results.forEach(r -> shares.computeIfAbsent(r.policy(), p -> new ArrayList<>()).add(r.share()));
+        results.forEach(
+                r -> shares.computeIfAbsent(r.policy(), p -> new ArrayList<>()).add(r.share()));
         return shares;
     }
 
@@ -53,31 +74,48 @@
 
     static double deviation(List<Double> values) {
         double mean = mean(values);
-        return values.size() < 2 ? 0 : StrictMath.sqrt(values.stream().mapToDouble(x -> (x - mean) * (x - mean)).sum()
-                / (values.size() - 1));
+        return values.size() < 2
+                ? 0
+                : StrictMath.sqrt(values.stream()
+                                .mapToDouble(x -> (x - mean) * (x - mean))
+                                .sum()
+                        / (values.size() - 1));
     }
 
     /**
-     * Two summaries side by side, policy by policy. Where both played the same seeds of the same scenario, seeds are paired.
-     * A difference counts as noise where its 95% interval (Student's t) holds zero, or where one seed alone was played.
+     * Two summaries side by side, policy by policy. Where both played the same seeds of the same scenario, seeds are
+     * paired. A difference counts as noise where its 95% interval (Student's t) holds zero, or where one seed alone was
+     * played.
      */
     public static String compare(Path one, Path other) throws IOException {
         JsonObject a = read(one);
         JsonObject b = read(other);
-        StringBuilder out = new StringBuilder(String.format(java.util.Locale.ROOT, "%-10s %8s %8s %9s %9s  %s%n", "policy", "A", "B",
-                "B - A", "+-", "verdict"));
-        out.append(a.getString("scenario").equals(b.getString("scenario")) ? "" : "different scenarios: " + a.getString("scenario")
-                + " and " + b.getString("scenario") + System.lineSeparator());
+        StringBuilder out = new StringBuilder(String.format(
+                java.util.Locale.ROOT, "%-10s %8s %8s %9s %9s  %s%n", "policy", "A", "B", "B - A", "+-", "verdict"));
+        out.append(
+                a.getString("scenario").equals(b.getString("scenario"))
+                        ? ""
+                        : "different scenarios: " + a.getString("scenario") + " and " + b.getString("scenario")
+                                + System.lineSeparator());
         for (String policy : a.getJsonObject("policies").fieldNames()) {
             if (b.getJsonObject("policies").containsKey(policy)) {
                 Map<Long, Double> x = bySeed(a, policy);
                 Map<Long, Double> y = bySeed(b, policy);
                 double difference = mean(List.copyOf(y.values())) - mean(List.copyOf(x.values()));
                 double within = within(x, y);
-                out.append(String.format(java.util.Locale.ROOT, "%-10s %8.4f %8.4f %+9.4f %9s  %s%n", policy, mean(List.copyOf(x.values())),
-                        mean(List.copyOf(y.values())), difference, within < 0 ? "?" : String.format(java.util.Locale.ROOT, "%.4f", within),
-                        within < 0 ? "one seed: nothing can be said" : Math.abs(difference) <= within ? "noise"
-                                : difference > 0 ? "B is better" : "A is better"));
+                out.append(String.format(
+                        java.util.Locale.ROOT,
+                        "%-10s %8.4f %8.4f %+9.4f %9s  %s%n",
+                        policy,
+                        mean(List.copyOf(x.values())),
+                        mean(List.copyOf(y.values())),
+                        difference,
+                        within < 0 ? "?" : String.format(java.util.Locale.ROOT, "%.4f", within),
+                        within < 0
+                                ? "one seed: nothing can be said"
+                                : Math.abs(difference) <= within
+                                        ? "noise"
+                                        : difference > 0 ? "B is better" : "A is better"));
             }
         }
         return out.toString();
@@ -116,7 +154,8 @@
             return -1;
         }
         if (x.keySet().equals(y.keySet())) {
-            List<Double> differences = x.keySet().stream().map(s -> y.get(s) - x.get(s)).toList();
+            List<Double> differences =
+                    x.keySet().stream().map(s -> y.get(s) - x.get(s)).toList();
             return t(differences.size() - 1) * deviation(differences) / StrictMath.sqrt(differences.size());
         }
         double vx = deviation(List.copyOf(x.values()));
--- a/lab/src/main/java/ambertrestle/lab/scenario/Spread.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Spread.java
@@ -2,7 +2,7 @@
 
 /** Spreads numbers evenly over all 64 bits (the finaliser of SplitMix64), alike on every machine. */
 public final class Spread {
-    private Spread() { }
+    private Spread() {}
 
     public static long mix(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/lab/src/main/java/ambertrestle/lab/standin/BackendSockets.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/BackendSockets.java
@@ -26,9 +26,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Owns the listening sockets of one stand-in backend, one for each relay, so that it knows who dials, and plays the network
- * between each pair: it can delay what passes, hold it all back, keep connections from coming up, reset them, refuse them.
- * What the backend does with a connection is the world's {@link BackendNode}, the same as in the model.
+ * Owns the listening sockets of one stand-in backend, one for each relay, so that it knows who dials, and plays the
+ * network between each pair: it can delay what passes, hold it all back, keep connections from coming up, reset them,
+ * refuse them. What the backend does with a connection is the world's {@link BackendNode}, the same as in the model.
  */
 final class BackendSockets {
     private static final String HOST = Daemon.HOST;
@@ -66,14 +66,22 @@
             int relay = i;
             CompletableFuture<Void> listening = new CompletableFuture<>();
             all.add(listening);
-            ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                    .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<SocketChannel>() {
+            ChannelFuture bound = new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
-                            channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST), new Link(channel, relays.get(relay)).new Handler());
+                            channel.pipeline()
+                                    .addLast(
+                                            new LineBasedFrameDecoder(LONGEST),
+                                            new Link(channel, relays.get(relay)).new Handler());
                         }
-                    }).bind(HOST, ports[i]);
+                    })
+                    .bind(HOST, ports[i]);
             bound.addListener(f -> {
                 if (f.isSuccess()) {
                     servers[relay] = bound.channel();
--- a/lab/src/main/java/ambertrestle/lab/standin/Cost.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/Cost.java
@@ -27,14 +27,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a relay costs: openings and lines through one relay as shipped, and straight to the same stand-in backend, in turn, in
- * one run. The client is one blocking thread, so each figure is of a relay with nothing else to do.
+ * What a relay costs: openings and lines through one relay as shipped, and straight to the same stand-in backend, in
+ * turn, in one run. The client is one blocking thread, so each figure is of a relay with nothing else to do.
  */
 public final class Cost implements AutoCloseable {
     private static final String HOST = Daemon.HOST;
     private static final int LONGEST_WAIT_MILLIS = 10_000;
 
-    private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
+    private final Vertx vertx = Vertx.vertx(
+            new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     private final int backend;
     private final int relay;
     private final Process process;
@@ -48,21 +49,47 @@
 
     public Cost(Scenario scenario, Path jar, Path dir) throws IOException, InterruptedException {
         try {
-            backend = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true)).connectHandler(s -> s.handler(
-                    RecordParser.newDelimited("\r\n", line -> s.write(Buffer.buffer(line.length() > 4 && line.getByte(0) == 'O' ? "UP 1\r\n" : "R\r\n")))))
-                    .listen(0, HOST).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS).actualPort();
-            JsonObject list = new JsonObject().put("index", 1).put("snapshot", true).put("endpoints", new JsonArray().add(
-                    RelayFile.entry("s-1", HOST + ":" + backend, scenario.fleets().get(0), "in_service", 0)));
-            int roster = vertx.createHttpServer().requestHandler(r -> {
-                HttpServerResponse answer = r.response().setChunked(true);
-                answer.write(list.encode() + "\n");
-                long still = vertx.setPeriodic(1_000, t -> answer.write("\n"));
-                answer.closeHandler(v -> vertx.cancelTimer(still));
-            }).listen(0, HOST).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS).actualPort();
+            backend = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
+                    .connectHandler(s -> s.handler(RecordParser.newDelimited(
+                            "\r\n",
+                            line -> s.write(Buffer.buffer(
+                                    line.length() > 4 && line.getByte(0) == 'O' ? "UP 1\r\n" : "R\r\n")))))
+                    .listen(0, HOST)
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(10, TimeUnit.SECONDS)
+                    .actualPort();
+            JsonObject list = new JsonObject()
+                    .put("index", 1)
+                    .put("snapshot", true)
+                    .put(
+                            "endpoints",
+                            new JsonArray()
+                                    .add(RelayFile.entry(
+                                            "s-1",
+                                            HOST + ":" + backend,
+                                            scenario.fleets().get(0),
+                                            "in_service",
+                                            0)));
+            int roster = vertx.createHttpServer()
+                    .requestHandler(r -> {
+                        HttpServerResponse answer = r.response().setChunked(true);
+                        answer.write(list.encode() + "\n");
+                        long still = vertx.setPeriodic(1_000, t -> answer.write("\n"));
+                        answer.closeHandler(v -> vertx.cancelTimer(still));
+                    })
+                    .listen(0, HOST)
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .get(10, TimeUnit.SECONDS)
+                    .actualPort();
             relay = Daemon.freePort();
             Files.createDirectories(dir);
             Path file = dir.resolve("cost.json");
-            Files.writeString(file, RelayFile.make(scenario, "cost", HOST + ":" + relay, HOST + ":" + roster, 1, list).encodePrettily());
+            Files.writeString(
+                    file,
+                    RelayFile.make(scenario, "cost", HOST + ":" + relay, HOST + ":" + roster, 1, list)
+                            .encodePrettily());
             process = Daemon.start(jar, file, dir.resolve("cost.log"));
             awaitPong();
         } catch (ExecutionException | TimeoutException e) {
@@ -106,8 +133,10 @@
         long began = System.nanoTime();
         try (Socket s = dial(through == 1 ? relay : backend)) {
             InputStream in = new BufferedInputStream(s.getInputStream());
-            s.getOutputStream().write(("OPEN " + Long.toHexString(++ids) + " " + Long.toHexString(ids * 77) + " c=open,t=t,d=2000\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(("OPEN " + Long.toHexString(++ids) + " " + Long.toHexString(ids * 77)
+                                    + " c=open,t=t,d=2000\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             String up = line(in);
             if (!up.startsWith("UP")) {
                 throw new IOException("an opening was answered " + up);
@@ -127,7 +156,10 @@
     }
 
     private long cpu() {
-        return process.info().totalCpuDuration().map(java.time.Duration::toNanos).orElse(0L);
+        return process.info()
+                .totalCpuDuration()
+                .map(java.time.Duration::toNanos)
+                .orElse(0L);
     }
 
     /** `opens` of each kind, in turn, with `each` lines; the first fifth is warm-up. A table, one row a line. */
@@ -150,12 +182,21 @@
         row(out, "opening, through the relay", openings[1]);
         row(out, "line, straight", lines[0]);
         row(out, "line, through the relay", lines[1]);
-        out.add(String.format(Locale.ROOT, "the relay's CPU: %.0f us an opening and its end, %.0f us a line and its answer", open, line));
+        out.add(String.format(
+                Locale.ROOT,
+                "the relay's CPU: %.0f us an opening and its end, %.0f us a line and its answer",
+                open,
+                line));
         return out;
     }
 
     private static void row(List<String> out, String name, Histogram h) {
-        out.add(String.format(Locale.ROOT, "%-28s %10.0f %10.0f %10.0f", name, h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3,
+        out.add(String.format(
+                Locale.ROOT,
+                "%-28s %10.0f %10.0f %10.0f",
+                name,
+                h.getValueAtPercentile(50) / 1e3,
+                h.getValueAtPercentile(99) / 1e3,
                 h.getValueAtPercentile(99.9) / 1e3));
     }
 
--- a/lab/src/main/java/ambertrestle/lab/standin/Folders.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/Folders.java
@@ -7,7 +7,7 @@
 
 /** Folders with files in them and nothing deeper. */
 final class Folders {
-    private Folders() { }
+    private Folders() {}
 
     /** Makes it where it is not there. */
     static Path empty(Path folder) throws IOException {
--- a/lab/src/main/java/ambertrestle/lab/standin/Kills.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/Kills.java
@@ -7,8 +7,8 @@
 import ambertrestle.relay.durable.DurableSheet;
 import ambertrestle.relay.durable.Hand;
 import ambertrestle.relay.durable.Keeper;
-import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.durable.Picture;
+import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.wire.RosterMessage;
 import java.io.IOException;
 import java.io.InputStream;
@@ -27,8 +27,9 @@
 import java.util.stream.Stream;
 
 /**
- * Kills processes that write a relay's state, each at a random moment of its writing, and looks at what they leave. The process
- * is this class's own main: the daemon's keeper, a state of the size asked for, one write after the other on the daemon's terms.
+ * Kills processes that write a relay's state, each at a random moment of its writing, and looks at what they leave. The
+ * process is this class's own main: the daemon's keeper, a state of the size asked for, one write after the other on
+ * the daemon's terms.
  */
 public final class Kills {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
@@ -60,7 +61,8 @@
         int backends = Integer.parseInt(args[2]);
         int pins = Integer.parseInt(args[3]);
         List<Said> said = new ArrayList<>();
-        Keeper keeper = Keeper.open(new DurableSheet(Path.of(args[0]), interval, MOST_AGE, 64 << 20, 2 * SECOND), "killed", said);
+        Keeper keeper = Keeper.open(
+                new DurableSheet(Path.of(args[0]), interval, MOST_AGE, 64 << 20, 2 * SECOND), "killed", said);
         keeper.read(now(), said);
         Hand hand = all(backends, pins);
         for (long round = 0; said.isEmpty(); round++) {
@@ -73,7 +75,12 @@
                 System.out.println("writes");
             }
             hand = new Hand();
-            hand.take(new Kept(1, new Kept.Whole(round, 1, 1, 1, 1, 0), List.of(), List.of(new Pin(round % pins, 1, now())), false));
+            hand.take(new Kept(
+                    1,
+                    new Kept.Whole(round, 1, 1, 1, 1, 0),
+                    List.of(),
+                    List.of(new Pin(round % pins, 1, now())),
+                    false));
             // As the daemon: twice an interval, from the beginning of one write to that of the next.
             Thread.sleep(Math.max(0, (interval / 2 - (System.nanoTime() - began)) / MS));
         }
@@ -89,7 +96,8 @@
         List<Judged> judged = new ArrayList<>();
         for (int b = 0; b < backends; b++) {
             String name = "s-" + b;
-            lines.add(new RosterMessage.Line(name, "10.0." + b / 250 + "." + b % 250 + ":8000", Stage.READY, "a", "m2", 3, 1, 0));
+            lines.add(new RosterMessage.Line(
+                    name, "10.0." + b / 250 + "." + b % 250 + ":8000", Stage.READY, "a", "m2", 3, 1, 0));
             judged.add(new Judged(RosterMessage.id(name), 0, now(), 1, 0.5, 0, 0, 0, 0));
         }
         List<Pin> all = new ArrayList<>();
@@ -139,15 +147,28 @@
 
     private Found one(int number, long after) throws IOException, InterruptedException {
         Path folder = Folders.empty(dir.resolve("kill-" + number));
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xmx256m", "-cp", System.getProperty("java.class.path"), Kills.class.getName(), folder.toString(),
-                Long.toString(interval / MS), Integer.toString(backends), Integer.toString(pins))
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.PIPE).start();
+        Process process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx256m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Kills.class.getName(),
+                        folder.toString(),
+                        Long.toString(interval / MS),
+                        Integer.toString(backends),
+                        Integer.toString(pins))
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.PIPE)
+                .start();
         try (InputStream out = process.getInputStream()) {
             byte[] first = new byte[6];
             if (out.readNBytes(first, 0, 6) < 6 || !new String(first, StandardCharsets.US_ASCII).equals("writes")) {
-                return Found.fault(number, "the writer said " + new String(first, StandardCharsets.US_ASCII)
-                        + new String(out.readAllBytes(), StandardCharsets.UTF_8));
+                return Found.fault(
+                        number,
+                        "the writer said " + new String(first, StandardCharsets.US_ASCII)
+                                + new String(out.readAllBytes(), StandardCharsets.UTF_8));
             }
             // Its first writes are slow, as its code is not yet compiled; some are let pass.
             Thread.sleep(2 * interval / MS);
@@ -168,19 +189,30 @@
         }
         List<Said> said = new ArrayList<>();
         Picture picture;
-        try (Keeper keeper = Keeper.open(new DurableSheet(folder, interval, MOST_AGE, 64 << 20, 2 * SECOND), "killed", said)) {
+        try (Keeper keeper =
+                Keeper.open(new DurableSheet(folder, interval, MOST_AGE, 64 << 20, 2 * SECOND), "killed", said)) {
             picture = keeper.read(now(), said);
         }
         List<String> faults = new ArrayList<>();
         if (picture == null) {
             faults.add("round " + number + ": no whole file; " + said);
-        } else if (picture.roster().lines().size() != backends || picture.kept().pins().size() != pins) {
-            faults.add("round " + number + ": whole, and yet " + picture.roster().lines().size() + " backends and " + picture.kept().pins().size() + " pins");
+        } else if (picture.roster().lines().size() != backends
+                || picture.kept().pins().size() != pins) {
+            faults.add("round " + number + ": whole, and yet "
+                    + picture.roster().lines().size() + " backends and "
+                    + picture.kept().pins().size() + " pins");
         }
         // What is at fault stays, to be looked at.
         if (faults.isEmpty()) {
             Files.delete(Folders.empty(folder));
         }
-        return new Found(1, picture == null ? 0 : 1, halves, said.size(), picture == null ? 0 : killed - picture.keptAt(), 0, faults);
+        return new Found(
+                1,
+                picture == null ? 0 : 1,
+                halves,
+                said.size(),
+                picture == null ? 0 : killed - picture.keptAt(),
+                0,
+                faults);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/standin/RealClock.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/RealClock.java
@@ -60,7 +60,10 @@
 
     /** 99th percentile and most, in milliseconds. */
     String lateness() {
-        return String.format(java.util.Locale.ROOT, "p99 %.1f ms, most %.1f ms", lateness.getValueAtPercentile(99) / 1e6,
+        return String.format(
+                java.util.Locale.ROOT,
+                "p99 %.1f ms, most %.1f ms",
+                lateness.getValueAtPercentile(99) / 1e6,
                 lateness.getMaxValue() / 1e6);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/standin/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/RelayProcess.java
@@ -37,7 +37,11 @@
         this.jar = jar;
         this.dir = dir;
         port = Daemon.freePort();
-        roster = new RosterServer(place.vertx, place.roster, name -> place.address(name, number), message -> heard.take(message, place.now()));
+        roster = new RosterServer(
+                place.vertx,
+                place.roster,
+                name -> place.address(name, number),
+                message -> heard.take(message, place.now()));
     }
 
     long drainTold(String backend) {
@@ -52,9 +56,18 @@
         }
         try {
             Path file = dir.resolve(name + ".json");
-            Files.writeString(file, RelayFile.make(place.scenario, name, HOST + ":" + port, roster.address(), place.seed * 1000 + number * 10L + life,
-                    roster.encode(listed(life, heard))).encodePrettily());
-            process = Daemon.start(jar, file, place.scenario.relays().kept() ? operator() : null, dir.resolve(name + ".log"));
+            Files.writeString(
+                    file,
+                    RelayFile.make(
+                                    place.scenario,
+                                    name,
+                                    HOST + ":" + port,
+                                    roster.address(),
+                                    place.seed * 1000 + number * 10L + life,
+                                    roster.encode(listed(life, heard)))
+                            .encodePrettily());
+            process = Daemon.start(
+                    jar, file, place.scenario.relays().kept() ? operator() : null, dir.resolve(name + ".log"));
             if (life > 1) {
                 starts();
             }
@@ -71,8 +84,10 @@
         if (life == 1) {
             Folders.empty(kept);
         }
-        return Files.writeString(dir.resolve(name + ".toml"), "[durable]\nfolder = \"" + kept + "\"\ninterval = \""
-                + place.scenario.relays().interval() / MS + "ms\"\n");
+        return Files.writeString(
+                dir.resolve(name + ".toml"),
+                "[durable]\nfolder = \"" + kept + "\"\ninterval = \""
+                        + place.scenario.relays().interval() / MS + "ms\"\n");
     }
 
     /** As the front does: it is taken in once it answers PING. */
@@ -81,20 +96,25 @@
             place.relayEnded(this, process.isAlive());
             return;
         }
-        place.net.connect(port, HOST).onSuccess(socket -> {
-            socket.handler(answer -> {
-                if (life == mine && !up && answer.toString().startsWith("PONG")) {
-                    up = true;
-                    ready.run();
-                }
-                socket.close();
-            }).exceptionHandler(e -> { }).closeHandler(v -> {
-                if (life == mine && !up) {
-                    place.vertx.setTimer(25, t -> awaitPong(mine, ready));
-                }
-            });
-            socket.write("PING\r\n");
-        }).onFailure(e -> place.vertx.setTimer(25, t -> awaitPong(mine, ready)));
+        place.net
+                .connect(port, HOST)
+                .onSuccess(socket -> {
+                    socket.handler(answer -> {
+                                if (life == mine && !up && answer.toString().startsWith("PONG")) {
+                                    up = true;
+                                    ready.run();
+                                }
+                                socket.close();
+                            })
+                            .exceptionHandler(e -> {})
+                            .closeHandler(v -> {
+                                if (life == mine && !up) {
+                                    place.vertx.setTimer(25, t -> awaitPong(mine, ready));
+                                }
+                            });
+                    socket.write("PING\r\n");
+                })
+                .onFailure(e -> place.vertx.setTimer(25, t -> awaitPong(mine, ready)));
     }
 
     @Override
@@ -135,7 +155,9 @@
     }
 
     private long cpuNow() {
-        return process == null ? 0 : process.info().totalCpuDuration().map(d -> d.toNanos()).orElse(0L);
+        return process == null
+                ? 0
+                : process.info().totalCpuDuration().map(d -> d.toNanos()).orElse(0L);
     }
 
     /** CPU of all its processes, in nanoseconds. */
@@ -146,8 +168,11 @@
     /** Resident memory now, in kilobytes; -1 where this machine does not tell. */
     long residentKilobytes() {
         try {
-            return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream().filter(l -> l.startsWith("VmRSS"))
-                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).findFirst().orElse(-1);
+            return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
+                    .filter(l -> l.startsWith("VmRSS"))
+                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .findFirst()
+                    .orElse(-1);
         } catch (IOException e) {
             return -1;
         }
@@ -161,12 +186,14 @@
         place.net.connect(port, HOST).onFailure(e -> client.refused()).onSuccess(socket -> {
             clients.put(client, socket);
             boolean[] reset = new boolean[1];
-            RecordParser lines = RecordParser.newDelimited("\r\n", line -> client.said(line.appendString("\r\n").getBytes()));
+            RecordParser lines = RecordParser.newDelimited(
+                    "\r\n", line -> client.said(line.appendString("\r\n").getBytes()));
             socket.handler(lines).exceptionHandler(e -> reset[0] = true).closeHandler(v -> {
                 if (clients.remove(client) == null) {
                     return;
                 }
-                // Danger: for some milliseconds after SIGKILL the dying process's port still takes connections, and then resets them.
+                // Danger: for some milliseconds after SIGKILL the dying process's port still takes connections, and
+                // then resets them.
                 if (life != mine || !up) {
                     client.relayDied();
                 } else {
@@ -192,5 +219,4 @@
             socket.close();
         }
     }
-
 }
--- a/lab/src/main/java/ambertrestle/lab/standin/RosterServer.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/RosterServer.java
@@ -23,10 +23,15 @@
     private final UnaryOperator<String> address;
     /** When it is told what, for the judge of drains. */
     private final java.util.function.Consumer<RosterMessage> told;
+
     private int port;
     private HttpServer server;
 
-    RosterServer(Vertx vertx, RosterNode roster, UnaryOperator<String> address, java.util.function.Consumer<RosterMessage> told) {
+    RosterServer(
+            Vertx vertx,
+            RosterNode roster,
+            UnaryOperator<String> address,
+            java.util.function.Consumer<RosterMessage> told) {
         this.vertx = vertx;
         this.roster = roster;
         this.address = address;
@@ -34,10 +39,13 @@
     }
 
     Future<HttpServer> listen() {
-        return vertx.createHttpServer().requestHandler(this::asked).listen(port, Daemon.HOST).onSuccess(s -> {
-            port = s.actualPort();
-            server = s;
-        });
+        return vertx.createHttpServer()
+                .requestHandler(this::asked)
+                .listen(port, Daemon.HOST)
+                .onSuccess(s -> {
+                    port = s.actualPort();
+                    server = s;
+                });
     }
 
     /** It fails from now on, in that way; null: it serves again. */
@@ -57,11 +65,24 @@
     JsonObject encode(RosterMessage message) {
         JsonArray lines = new JsonArray();
         for (RosterMessage.Line line : message.lines()) {
-            lines.add(new JsonObject().put("name", line.name()).put("address", address.apply(line.name())).put("zone", line.zone())
-                    .put("type", line.type()).put("group", line.cell()).put("weight", line.weight()).put("since_ms", line.sinceMillis())
-                    .put("status", line.stage() == Stage.READY ? "in_service" : line.stage() == Stage.DRAINING ? "terminating" : "terminated"));
+            lines.add(new JsonObject()
+                    .put("name", line.name())
+                    .put("address", address.apply(line.name()))
+                    .put("zone", line.zone())
+                    .put("type", line.type())
+                    .put("group", line.cell())
+                    .put("weight", line.weight())
+                    .put("since_ms", line.sinceMillis())
+                    .put(
+                            "status",
+                            line.stage() == Stage.READY
+                                    ? "in_service"
+                                    : line.stage() == Stage.DRAINING ? "terminating" : "terminated"));
         }
-        return new JsonObject().put("index", message.index()).put("snapshot", message.whole()).put("endpoints", lines);
+        return new JsonObject()
+                .put("index", message.index())
+                .put("snapshot", message.whole())
+                .put("endpoints", lines);
     }
 
     private void asked(HttpServerRequest request) {
--- a/lab/src/main/java/ambertrestle/lab/standin/SocketWorld.java
+++ b/lab/src/main/java/ambertrestle/lab/standin/SocketWorld.java
@@ -25,11 +25,15 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.IntPredicate;
 
-/** The same scenario on loopback: relays are processes as shipped; clients, backends and the roster service are stand-ins here. */
+/**
+ * The same scenario on loopback: relays are processes as shipped; clients, backends and the roster service are
+ * stand-ins here.
+ */
 public final class SocketWorld extends World {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
     /** The rules' limits are this much longer on sockets. */
     private static final long SLACK = 50 * MS;
+
     private static final long READY_SECONDS = 30;
 
     final Vertx vertx;
@@ -63,9 +67,11 @@
             throw new IOException(jar + " is not there: build the relay first, or name its jar by --jar");
         }
         Files.createDirectories(dir);
-        Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
+        Vertx vertx = Vertx.vertx(
+                new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         Context loop = vertx.getOrCreateContext();
-        return new SocketWorld(scenario, seed, jar.toAbsolutePath(), dir.toAbsolutePath(), vertx, loop, new RealClock(vertx, loop));
+        return new SocketWorld(
+                scenario, seed, jar.toAbsolutePath(), dir.toAbsolutePath(), vertx, loop, new RealClock(vertx, loop));
     }
 
     /** Plays all in real time. False when told to stop before the end. */
@@ -131,7 +137,12 @@
     private void tick(int n, IntPredicate second) {
         clock.at(Math.min(scenario.end(), n * SECOND), () -> {
             sample();
-            mostResident = Math.max(mostResident, relays.stream().mapToLong(RelayProcess::residentKilobytes).max().orElse(0));
+            mostResident = Math.max(
+                    mostResident,
+                    relays.stream()
+                            .mapToLong(RelayProcess::residentKilobytes)
+                            .max()
+                            .orElse(0));
             boolean on = second.test(n);
             if (!on || n * SECOND >= scenario.end()) {
                 account = super.account();
--- a/lab/src/main/java/ambertrestle/lab/world/Agenda.java
+++ b/lab/src/main/java/ambertrestle/lab/world/Agenda.java
@@ -2,7 +2,9 @@
 
 import java.util.Arrays;
 
-/** What is to happen and when, in virtual time. Of one moment, what was set first comes first; nothing else orders it. */
+/**
+ * What is to happen and when, in virtual time. Of one moment, what was set first comes first; nothing else orders it.
+ */
 final class Agenda implements Clock {
     private long[] times = new long[1 << 12];
     private long[] orders = new long[1 << 12];
--- a/lab/src/main/java/ambertrestle/lab/world/BackLink.java
+++ b/lab/src/main/java/ambertrestle/lab/world/BackLink.java
@@ -9,6 +9,7 @@
     protected int backendLife;
     /** Set once the opening has reached the backend. */
     ClientLink client;
+
     protected Judge.Run run;
     /** Let in and not yet over. */
     boolean open;
--- a/lab/src/main/java/ambertrestle/lab/world/BackendNode.java
+++ b/lab/src/main/java/ambertrestle/lab/world/BackendNode.java
@@ -14,9 +14,13 @@
     private static final long SECOND = 1_000_000_000L;
     /** Longer than this a set-up does not wait for the shared store; then it is an error. */
     private static final long STORE_PATIENCE = SECOND;
-    private static final FromBackend BUSY = FromBackend.decode(raw("BUSY")), ERR = FromBackend.decode(raw("ERR")),
-            BYE = FromBackend.decode(raw("BYE")), MOVE = FromBackend.decode(raw("MOVE")),
-            REPLY = FromBackend.decode(raw("R")), UP = FromBackend.decode(raw("UP 1"));
+
+    private static final FromBackend BUSY = FromBackend.decode(raw("BUSY")),
+            ERR = FromBackend.decode(raw("ERR")),
+            BYE = FromBackend.decode(raw("BYE")),
+            MOVE = FromBackend.decode(raw("MOVE")),
+            REPLY = FromBackend.decode(raw("R")),
+            UP = FromBackend.decode(raw("UP 1"));
 
     final World world;
     public final int number;
@@ -24,10 +28,12 @@
     final Scenario.Fleet fleet;
     /** Counts its processes. */
     private int life = 1;
+
     private boolean dead;
     /** Told when its process dies and when it runs again: whoever owns its sockets. */
-    private Runnable onDeath = () -> { };
-    private Runnable onStart = () -> { };
+    private Runnable onDeath = () -> {};
+
+    private Runnable onStart = () -> {};
     private boolean hung;
     private boolean silent;
     private boolean draining;
@@ -35,12 +41,15 @@
     double factor = 1;
     /** When its process started; below 0: long ago. */
     long startedAt = Long.MIN_VALUE / 4;
+
     private long busyUntil;
     /** Those up, in the order of their connecting, and how many of each group. */
     private final LinkedHashSet<BackLink> links = new LinkedHashSet<>();
+
     private int open;
     /** What those open cost, in nanoseconds of work a second. */
     private double work;
+
     private final Map<Long, Integer> groups = new HashMap<>();
     private final List<Runnable> whileHung = new ArrayList<>();
     private Judge.Cold cold = new Judge.Cold();
@@ -99,12 +108,16 @@
 
     /** How much of what a cold backend may get has reached it lately; 0 for a warm one. */
     double coldSpent() {
-        return world.now() - startedAt < world.scenario.rules().cold() ? cold.spent(world.now(), world.scenario.rules().fall()) : 0;
+        return world.now() - startedAt < world.scenario.rules().cold()
+                ? cold.spent(world.now(), world.scenario.rules().fall())
+                : 0;
     }
 
     double speed() {
-        double age = Math.min(1, (double) (world.now() - startedAt) / world.scenario.rules().cold());
-        double warmth = world.scenario.rules().coldFrom() + (1 - world.scenario.rules().coldFrom()) * age;
+        double age = Math.min(
+                1, (double) (world.now() - startedAt) / world.scenario.rules().cold());
+        double warmth =
+                world.scenario.rules().coldFrom() + (1 - world.scenario.rules().coldFrom()) * age;
         double forGroups = (double) groups.size() * world.scenario.groups().work() / SECOND;
         return Math.max(0.05 * fleet.speed(), fleet.speed() * warmth * factor - forGroups);
     }
@@ -141,12 +154,15 @@
         link.run = world.judge.reached(client.judged, name, fleet.zone(), world.now());
         Judge.Run run = link.run;
         // Two ways from one relay may differ in length: the end of the dispatch before may come after this one.
-        world.judge.stillOut(client.judged).forEach(before -> world.clock.after(world.judge.slack(),
-                () -> world.judge.twoOut(client.judged, before, run, world.now())));
+        world.judge
+                .stillOut(client.judged)
+                .forEach(before -> world.clock.after(
+                        world.judge.slack(), () -> world.judge.twoOut(client.judged, before, run, world.now())));
         world.meter.add(Meter.Series.DISPATCHES, 1, world.now());
         if (world.now() - startedAt < world.scenario.rules().cold()) {
             world.meter.add(Meter.Series.TO_FRESH, 1, world.now());
-            world.judge.coldReached(cold, name, startedAt, fleet.speed() * SECOND / Math.max(1, world.meanSetUp()), world.now());
+            world.judge.coldReached(
+                    cold, name, startedAt, fleet.speed() * SECOND / Math.max(1, world.meanSetUp()), world.now());
         }
         act(() -> admit(link));
     }
@@ -222,11 +238,13 @@
             if (here(link) && link.open) {
                 long done = serve(link.client.visit.work.line());
                 int mine = life;
-                world.clock.at(done, () -> act(() -> {
-                    if (mine == life && here(link)) {
-                        link.say(REPLY);
-                    }
-                }));
+                world.clock.at(
+                        done,
+                        () -> act(() -> {
+                            if (mine == life && here(link)) {
+                                link.say(REPLY);
+                            }
+                        }));
             }
         });
     }
--- a/lab/src/main/java/ambertrestle/lab/world/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/world/BadClient.java
@@ -4,8 +4,17 @@
 
 /** A client that sends what none may send, or says nothing; it is owed an error or a close within 3 s. */
 final class BadClient extends ClientEnd {
-    private static final String[] SENDS = {"HELLO", "OPEN", "OPEN zz 1 c=x,t=t,d=1", "OPEN 1 2 c=nothing-like-it,t=t,d=100",
-        "OPEN 3 4 c=,,=", "OPEN 5 6 d=-1", "PING", "", "X".repeat(5000)};
+    private static final String[] SENDS = {
+        "HELLO",
+        "OPEN",
+        "OPEN zz 1 c=x,t=t,d=1",
+        "OPEN 1 2 c=nothing-like-it,t=t,d=100",
+        "OPEN 3 4 c=,,=",
+        "OPEN 5 6 d=-1",
+        "PING",
+        "",
+        "X".repeat(5000)
+    };
     static final int KINDS = SENDS.length;
     private static final long OWED = 3_000_000_000L;
 
--- a/lab/src/main/java/ambertrestle/lab/world/ClientEnd.java
+++ b/lab/src/main/java/ambertrestle/lab/world/ClientEnd.java
@@ -4,6 +4,7 @@
 public abstract class ClientEnd {
     /** Its number at the relay's machine and the start of the relay that holds it: kept here for the relay's side. */
     long socket;
+
     int relayLife;
     /** How long a message takes one way, in the model. */
     long way;
--- a/lab/src/main/java/ambertrestle/lab/world/ClientLink.java
+++ b/lab/src/main/java/ambertrestle/lab/world/ClientLink.java
@@ -6,7 +6,11 @@
 
 /** One connection of a client to a relay, and its one association. */
 public final class ClientLink extends ClientEnd {
-    private enum Stage { WAITING, UP, OVER }
+    private enum Stage {
+        WAITING,
+        UP,
+        OVER
+    }
 
     static final byte[] LINE = "L\r\n".getBytes(StandardCharsets.UTF_8);
 
@@ -18,6 +22,7 @@
     private RelayEnd relay;
     /** Where it is up. */
     BackLink held;
+
     private Stage stage = Stage.WAITING;
     private boolean saidBye;
     private boolean saidMove;
@@ -56,9 +61,11 @@
 
     @Override
     public void accepted() {
-        String line = "OPEN " + Long.toHexString(judged.id) + " " + Long.toHexString(visit.client) + " c=" + visit.work.name()
-                + ",t=t,d=" + visit.work.cutOff() / 1_000_000 + (visit.group != 0 ? ",g=" + Long.toHexString(visit.group) : "")
-                + (retry ? ",r=1" : "") + (returning ? ",again=1" : "") + "\r\n";
+        String line =
+                "OPEN " + Long.toHexString(judged.id) + " " + Long.toHexString(visit.client) + " c=" + visit.work.name()
+                        + ",t=t,d=" + visit.work.cutOff() / 1_000_000
+                        + (visit.group != 0 ? ",g=" + Long.toHexString(visit.group) : "")
+                        + (retry ? ",r=1" : "") + (returning ? ",again=1" : "") + "\r\n";
         relay.send(this, line.getBytes(StandardCharsets.UTF_8));
         world.clock.after(visit.work.cutOff(), this::patienceUp);
     }
@@ -156,7 +163,7 @@
         });
     }
 
-        @Override
+    @Override
     public void ended(boolean reset) {
         if (stage == Stage.OVER) {
             return;
--- a/lab/src/main/java/ambertrestle/lab/world/HeardRoster.java
+++ b/lab/src/main/java/ambertrestle/lab/world/HeardRoster.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What one relay was told of the roster, as its witness keeps it: the list it has, and since when each backend is to get nothing. */
+/**
+ * What one relay was told of the roster, as its witness keeps it: the list it has, and since when each backend is to
+ * get nothing.
+ */
 public final class HeardRoster {
     private final TreeMap<String, RosterMessage.Line> lines = new TreeMap<>();
     private final TreeMap<String, Long> drainTold = new TreeMap<>();
--- a/lab/src/main/java/ambertrestle/lab/world/Judge.java
+++ b/lab/src/main/java/ambertrestle/lab/world/Judge.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Judges the four rules from what crossed the world. It is told what clients, backends and the roster service saw, never
- * what a relay says of itself; it keeps the first breaches in words and counts all.
+ * Judges the four rules from what crossed the world. It is told what clients, backends and the roster service saw,
+ * never what a relay says of itself; it keeps the first breaches in words and counts all.
  */
 public final class Judge {
     /** What a relay owes; the figures are the mission's rules. */
@@ -32,8 +32,11 @@
     }
 
     private static final int KEPT = 20;
-    /** Relays are told a limit and the network adds to what they do; sockets get 50 ms more, the model its longest way. */
+    /**
+     * Relays are told a limit and the network adds to what they do; sockets get 50 ms more, the model its longest way.
+     */
     private final long slack;
+
     private final Scenario scenario;
     private final EnumMap<Rule, Long> counts = new EnumMap<>(Rule.class);
     private final List<String> breaches = new ArrayList<>();
@@ -88,8 +91,9 @@
         Run run = new Run(backend, zone, now);
         for (Run before : c.runs) {
             boolean far = now - before.at > c.work.window() + slack || apart(c.work.scope(), before, run);
-            if (!before.never && (c.work.effect() == Scenario.Effect.BINDING
-                    || c.work.effect() == Scenario.Effect.FINGERPRINTED && far)) {
+            if (!before.never
+                    && (c.work.effect() == Scenario.Effect.BINDING
+                            || c.work.effect() == Scenario.Effect.FINGERPRINTED && far)) {
                 breach(Rule.NO_EFFECT_TWICE, c, now, c.work.effect() + ": " + before.backend + ", then " + backend);
             }
         }
@@ -97,7 +101,10 @@
         return run;
     }
 
-    /** Dispatches of this association before the last that have not ended yet; judged by {@link #twoOut} once word can have come. */
+    /**
+     * Dispatches of this association before the last that have not ended yet; judged by {@link #twoOut} once word can
+     * have come.
+     */
     List<Run> stillOut(Case c) {
         return c.runs.stream().limit(c.runs.size() - 1L).filter(r -> !r.ended).toList();
     }
@@ -125,7 +132,8 @@
         }
         boolean mayHaveRun = c.runs.stream().anyMatch(r -> !r.never);
         boolean harmless = c.work.effect() == Scenario.Effect.RETRIABLE
-                || c.work.effect() == Scenario.Effect.FINGERPRINTED && c.work.scope().equals("all");
+                || c.work.effect() == Scenario.Effect.FINGERPRINTED
+                        && c.work.scope().equals("all");
         if (shed && mayHaveRun && !harmless) {
             breach(Rule.SHED_THAT_MAY_HAVE_RUN, c, now, c.work.effect().toString());
         }
@@ -149,7 +157,9 @@
         breach(Rule.ONE_FINAL_ANSWER, c, now, "cut off while open");
     }
 
-    /** A dispatch's first byte left for a backend of which that relay had heard at `heardAt` that it drains or is gone. */
+    /**
+     * A dispatch's first byte left for a backend of which that relay had heard at `heardAt` that it drains or is gone.
+     */
     public void sent(String backend, long heardAt, long now) {
         if (heardAt >= 0 && now - heardAt > scenario.rules().drainGrace() + slack) {
             breach(Rule.DRAINS_KEPT, null, now, backend + " " + (now - heardAt) / 1_000_000 + " ms after hearing");
@@ -174,8 +184,8 @@
     }
 
     /**
-     * A dispatch reached a backend started at `startedAt`. Within any stretch as long as the fall, all relays together may
-     * send it `fallMultiple` times what one of that size and age sets up: `perSecond` when warm, by its speed.
+     * A dispatch reached a backend started at `startedAt`. Within any stretch as long as the fall, all relays together
+     * may send it `fallMultiple` times what one of that size and age sets up: `perSecond` when warm, by its speed.
      */
     public void coldReached(Cold cold, String backend, long startedAt, double perSecond, long now) {
         long fall = scenario.rules().fall();
@@ -196,7 +206,8 @@
     private void breach(Rule rule, Case c, long now, String what) {
         counts.merge(rule, 1L, Long::sum);
         if (breaches.size() < KEPT) {
-            breaches.add(now / 1_000_000 + " ms: " + rule.says + (c == null ? "" : ", " + Long.toHexString(c.id)) + ": " + what);
+            breaches.add(now / 1_000_000 + " ms: " + rule.says + (c == null ? "" : ", " + Long.toHexString(c.id)) + ": "
+                    + what);
         }
     }
 
--- a/lab/src/main/java/ambertrestle/lab/world/Meter.java
+++ b/lab/src/main/java/ambertrestle/lab/world/Meter.java
@@ -10,11 +10,28 @@
 public final class Meter {
     /** What is counted in each second. */
     public enum Series {
-        OFFERED("benefit offered"), BENEFIT("benefit"), OPENS("opens"), RETURNS("reconnects"), UP("up"), BUSY("shed"),
-        ERR("forfeited"), UNHEARD("no answer"), REFUSED("not connected"), DONE("done"), BROKEN("broken"), MOVED("moved"),
-        LINES("lines"), LATE_LINES("late lines"), DISPATCHES("dispatches"), OPEN("open connections"),
-        WAITING("waiting for an answer"), BUSIEST("busiest backend, % of its speed"), MEAN_BUSY("mean of backends, %"),
-        TO_FRESH("dispatches to backends started within the cold time"), WORST_WAIT("longest queue at a backend, ms"), MEAN_WAIT("mean queue at backends, ms");
+        OFFERED("benefit offered"),
+        BENEFIT("benefit"),
+        OPENS("opens"),
+        RETURNS("reconnects"),
+        UP("up"),
+        BUSY("shed"),
+        ERR("forfeited"),
+        UNHEARD("no answer"),
+        REFUSED("not connected"),
+        DONE("done"),
+        BROKEN("broken"),
+        MOVED("moved"),
+        LINES("lines"),
+        LATE_LINES("late lines"),
+        DISPATCHES("dispatches"),
+        OPEN("open connections"),
+        WAITING("waiting for an answer"),
+        BUSIEST("busiest backend, % of its speed"),
+        MEAN_BUSY("mean of backends, %"),
+        TO_FRESH("dispatches to backends started within the cold time"),
+        WORST_WAIT("longest queue at a backend, ms"),
+        MEAN_WAIT("mean queue at backends, ms");
 
         public final String says;
 
@@ -27,11 +44,13 @@
     private final long from;
     /** Sums leave out the seconds before this one. */
     private final int countFrom;
+
     private final Map<Series, double[]> series = new LinkedHashMap<>();
     /** All that was ever added, the warm-up's too: what the account of answers is made from. */
     private final EnumMap<Series, Double> ever = new EnumMap<>(Series.class);
     /** From when the client wanted it (its first try) to UP; from when a line was due to its answer. Microseconds. */
     public final Histogram opening = new Histogram(600_000_000L, 3);
+
     public final Histogram line = new Histogram(600_000_000L, 3);
 
     public Meter(long from, long to, long countFrom) {
@@ -61,7 +80,8 @@
     }
 
     public long ever(Series... all) {
-        return Math.round(Arrays.stream(all).mapToDouble(s -> ever.getOrDefault(s, 0.0)).sum());
+        return Math.round(
+                Arrays.stream(all).mapToDouble(s -> ever.getOrDefault(s, 0.0)).sum());
     }
 
     public double sum(Series s) {
--- a/lab/src/main/java/ambertrestle/lab/world/Model.java
+++ b/lab/src/main/java/ambertrestle/lab/world/Model.java
@@ -22,14 +22,14 @@
 
 /**
  * The model: one scenario in virtual time, in one thread, with the real reducer and the real decisions in every relay.
- * Nothing here reads a clock, so one file and one seed give the same run anywhere. A relay's own work takes no time here;
- * what that costs is measured on sockets.
+ * Nothing here reads a clock, so one file and one seed give the same run anywhere. A relay's own work takes no time
+ * here; what that costs is measured on sockets.
  */
 public final class Model extends World {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
     /**
-     * Danger: the roster tells starts in Unix time and relays go by the model's; two zeros would make every fresh backend start
-     * in a future that never comes. So Unix time begins with the run.
+     * Danger: the roster tells starts in Unix time and relays go by the model's; two zeros would make every fresh
+     * backend start in a future that never comes. So Unix time begins with the run.
      */
     private static final long EPOCH = 0;
 
@@ -54,17 +54,31 @@
         this(scenario, new Agenda(), policy, change, seed);
     }
 
-    private Model(Scenario scenario, Agenda agenda, Function<Sight, Decisions.Maker> policy, UnaryOperator<Program> change, long seed)
+    private Model(
+            Scenario scenario,
+            Agenda agenda,
+            Function<Sight, Decisions.Maker> policy,
+            UnaryOperator<Program> change,
+            long seed)
             throws RunSheet.BadSheet {
         super(scenario, agenda, 6 * scenario.network().most() + MS, seed);
         this.agenda = agenda;
         this.policy = policy.apply(this);
         this.change = change;
-        sheet = RunSheet.read(Map.of(), RelayFile.make(scenario, "model", "127.0.0.1:1", "127.0.0.1:2", 1,
-                new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
+        sheet = RunSheet.read(
+                Map.of(),
+                RelayFile.make(
+                        scenario,
+                        "model",
+                        "127.0.0.1:1",
+                        "127.0.0.1:2",
+                        1,
+                        new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
     }
 
-    /** Plays all; `second` hears after each second of the run how many are over. False when told to stop before the end. */
+    /**
+     * Plays all; `second` hears after each second of the run how many are over. False when told to stop before the end.
+     */
     public boolean run(IntPredicate second) {
         for (int i = 0; i < scenario.relays().count(); i++) {
             RelayNode relay = new RelayNode(this, i);
@@ -102,8 +116,12 @@
     }
 
     Program program(Beginning beginning) {
-        return change.apply(new Reducer(sheet.values().withSeed(Spread.mix(++starts * 31 + chance.nextLong())), beginning,
-                scenario.relays().kept(), policy, now())::apply);
+        return change.apply(new Reducer(
+                sheet.values().withSeed(Spread.mix(++starts * 31 + chance.nextLong())),
+                beginning,
+                scenario.relays().kept(),
+                policy,
+                now())::apply);
     }
 
     long clientWay(int relay, long client) {
--- a/lab/src/main/java/ambertrestle/lab/world/ModelBackLink.java
+++ b/lab/src/main/java/ambertrestle/lab/world/ModelBackLink.java
@@ -2,9 +2,17 @@
 
 import ambertrestle.relay.wire.FromBackend;
 
-/** One connection from a relay to a backend in the model, both ends. What a partition holds up comes, in order, when it is over. */
+/**
+ * One connection from a relay to a backend in the model, both ends. What a partition holds up comes, in order, when it
+ * is over.
+ */
 final class ModelBackLink extends BackLink {
-    private enum Stage { DIALLED, UNWANTED, CONNECTED, GONE }
+    private enum Stage {
+        DIALLED,
+        UNWANTED,
+        CONNECTED,
+        GONE
+    }
 
     final RelayNode relay;
     final int relayLife;
--- a/lab/src/main/java/ambertrestle/lab/world/RelayEnd.java
+++ b/lab/src/main/java/ambertrestle/lab/world/RelayEnd.java
@@ -22,7 +22,9 @@
 
     /** The list in its configuration at that start, the first being 1; `heard`: as it last had it. */
     protected final RosterMessage listed(int start, HeardRoster heard) {
-        return switch (start == 1 ? Scenario.Known.LAST : world.scenario.relays().known()) {
+        return switch (start == 1
+                ? Scenario.Known.LAST
+                : world.scenario.relays().known()) {
             case LAST -> heard.known();
             case FIRST -> world.first();
             case NONE -> new RosterMessage(0, true, List.of());
--- a/lab/src/main/java/ambertrestle/lab/world/RelayNode.java
+++ b/lab/src/main/java/ambertrestle/lab/world/RelayNode.java
@@ -22,9 +22,11 @@
     private static final long MS = 1_000_000L;
     /** A longer line is none. */
     private static final int LONGEST = 4096;
+
     private static final String ROSTER_AT = "roster:1";
     /** A list heard no longer ago stands as it is; the daemon's default. */
     private static final long SURE = 2_000 * MS;
+
     private static final FromClient LINE = new FromClient.Text(ClientLink.LINE);
 
     private final Model model;
@@ -32,6 +34,7 @@
     int life;
     /** Told to stop; ends by itself or is killed. */
     private boolean stopping;
+
     private Model.Program program;
     private long wakes;
     private long accepted;
@@ -42,6 +45,7 @@
     private Watch watching;
     /** Its folder: what it kept, taken whole at an instant; null before it kept anything. */
     private byte[] file;
+
     private Mirror mirror;
     private Hand hand;
     private long listHeardAt;
@@ -83,7 +87,8 @@
             return Beginning.known(known);
         }
         try {
-            Beginning beginning = Recovery.begin(known, file == null ? null : StateFile.decode(file), ROSTER_AT, SURE, world.now());
+            Beginning beginning =
+                    Recovery.begin(known, file == null ? null : StateFile.decode(file), ROSTER_AT, SURE, world.now());
             mirror = new Mirror(name);
             mirror.begin(ROSTER_AT, beginning.heardAt(), beginning.list());
             hand = new Hand();
--- a/lab/src/main/java/ambertrestle/lab/world/RosterNode.java
+++ b/lab/src/main/java/ambertrestle/lab/world/RosterNode.java
@@ -26,10 +26,12 @@
     private final TreeMap<Long, List<RosterMessage.Line>> changes = new TreeMap<>();
     /** What will be told, by when. */
     private final TreeMap<Long, List<RosterMessage.Line>> coming = new TreeMap<>();
+
     private final Set<Watcher> watchers = new LinkedHashSet<>();
     private long index = 1;
     /** How it fails; null while it serves. */
     private Down down;
+
     double lagFactor = 1;
 
     RosterNode(World world) {
@@ -46,7 +48,14 @@
     }
 
     private RosterMessage.Line line(BackendNode b, Stage stage) {
-        return new RosterMessage.Line(b.name, b.name, stage, b.fleet.zone(), b.fleet.name(), 0, b.fleet.weight(),
+        return new RosterMessage.Line(
+                b.name,
+                b.name,
+                stage,
+                b.fleet.zone(),
+                b.fleet.name(),
+                0,
+                b.fleet.weight(),
                 b.startedAt < 0 ? 0 : world.wall(b.startedAt) / MS);
     }
 
@@ -98,8 +107,15 @@
             return false;
         }
         watchers.add(watcher);
-        watcher.told(from < 0 || from > index ? whole()
-                : new RosterMessage(index, false, changes.tailMap(from, false).values().stream().flatMap(List::stream).toList()));
+        watcher.told(
+                from < 0 || from > index
+                        ? whole()
+                        : new RosterMessage(
+                                index,
+                                false,
+                                changes.tailMap(from, false).values().stream()
+                                        .flatMap(List::stream)
+                                        .toList()));
         return true;
     }
 
--- a/lab/src/main/java/ambertrestle/lab/world/Visit.java
+++ b/lab/src/main/java/ambertrestle/lab/world/Visit.java
@@ -2,7 +2,10 @@
 
 import ambertrestle.lab.scenario.Scenario;
 
-/** What one client wants: to be up for a time. It comes back, by its scenario's patience, over as many connections as it takes. */
+/**
+ * What one client wants: to be up for a time. It comes back, by its scenario's patience, over as many connections as it
+ * takes.
+ */
 final class Visit {
     private static final long MS = 1_000_000L;
     private static final int MOST_REFUSALS = 50;
@@ -15,6 +18,7 @@
     private final long life;
     /** When it is served to its end; 0 until it was up once. */
     private long endsAt;
+
     private int tries;
     private int refusals;
     private boolean credited;
@@ -57,7 +61,9 @@
             endsAt = world.now() + life;
             long took = world.now() - wantedAt;
             world.meter.took(world.meter.opening, took, world.now());
-            double share = took <= work.goal() ? 1 : Math.max(0, 1 - (double) (took - work.goal()) / (work.cutOff() - work.goal()));
+            double share = took <= work.goal()
+                    ? 1
+                    : Math.max(0, 1 - (double) (took - work.goal()) / (work.cutOff() - work.goal()));
             world.meter.add(Meter.Series.BENEFIT, share * work.benefit(), world.now());
         }
         tries = 0;
@@ -94,7 +100,8 @@
     /** Its connection broke, or it was sent away. */
     void cutShort() {
         if (world.scenario.clients().returns()) {
-            world.clock.after(world.chance.nextLong(Math.max(1, world.scenario.clients().returnWithin())), () -> connect(true));
+            world.clock.after(
+                    world.chance.nextLong(Math.max(1, world.scenario.clients().returnWithin())), () -> connect(true));
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/world/World.java
+++ b/lab/src/main/java/ambertrestle/lab/world/World.java
@@ -2,7 +2,6 @@
 
 import ambertrestle.lab.policy.Sight;
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.lab.scenario.Scenario.Kind;
 import ambertrestle.lab.scenario.Scenario.Trouble;
 import ambertrestle.lab.scenario.Scenario.Work;
 import ambertrestle.lab.scenario.Spread;
@@ -18,8 +17,9 @@
 import java.util.function.Consumer;
 
 /**
- * One run of a scenario: clients that come, backends, the roster, troubles, the judge and the meter. What time is, and what
- * carries bytes, is the subclass's: {@link Model} in virtual time, or sockets. One thread; all chance comes from the seed.
+ * One run of a scenario: clients that come, backends, the roster, troubles, the judge and the meter. What time is, and
+ * what carries bytes, is the subclass's: {@link Model} in virtual time, or sockets. One thread; all chance comes from
+ * the seed.
  */
 public abstract class World implements Sight {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
@@ -35,6 +35,7 @@
     private final List<RelayEnd> relays = new ArrayList<>();
     /** Those to which the front sends. */
     private final List<RelayEnd> front = new ArrayList<>();
+
     private final List<BackendNode> backends = new ArrayList<>();
     private final Map<String, BackendNode> byName = new HashMap<>();
     private final Map<Long, BackendNode> byId = new HashMap<>();
@@ -44,6 +45,7 @@
     private final List<String> happened = new ArrayList<>();
     /** For each pair of relay and backend that is cut off, until when. */
     private final Map<Long, Long> cutUntil = new HashMap<>();
+
     private long storeUntil;
     private double storeFactor = 1;
     private double burst = 1;
@@ -114,10 +116,32 @@
         long at = clock.now() - 1;
         meter.add(Series.OPEN, backends.stream().mapToInt(BackendNode::open).sum(), at);
         meter.add(Series.WAITING, waiting, at);
-        meter.add(Series.BUSIEST, 100 * backends.stream().filter(BackendNode::listens).mapToDouble(BackendNode::busy).max().orElse(0), at);
-        meter.add(Series.MEAN_BUSY, 100 * backends.stream().filter(BackendNode::listens).mapToDouble(BackendNode::busy).average().orElse(0), at);
-        meter.add(Series.WORST_WAIT, backends.stream().mapToLong(BackendNode::waits).max().orElse(0) / 1e6, at);
-        meter.add(Series.MEAN_WAIT, backends.stream().mapToLong(BackendNode::waits).average().orElse(0) / 1e6, at);
+        meter.add(
+                Series.BUSIEST,
+                100
+                        * backends.stream()
+                                .filter(BackendNode::listens)
+                                .mapToDouble(BackendNode::busy)
+                                .max()
+                                .orElse(0),
+                at);
+        meter.add(
+                Series.MEAN_BUSY,
+                100
+                        * backends.stream()
+                                .filter(BackendNode::listens)
+                                .mapToDouble(BackendNode::busy)
+                                .average()
+                                .orElse(0),
+                at);
+        meter.add(
+                Series.WORST_WAIT,
+                backends.stream().mapToLong(BackendNode::waits).max().orElse(0) / 1e6,
+                at);
+        meter.add(
+                Series.MEAN_WAIT,
+                backends.stream().mapToLong(BackendNode::waits).average().orElse(0) / 1e6,
+                at);
     }
 
     // ---- clients
@@ -143,8 +167,9 @@
     private void visit(Work work, long life) {
         long group = 0;
         if (groupShares.length > 0) {
-            int g = hot > 0 && chance.nextDouble() < hot ? 0 : Arrays.binarySearch(groupShares,
-                    chance.nextDouble() * groupShares[groupShares.length - 1]);
+            int g = hot > 0 && chance.nextDouble() < hot
+                    ? 0
+                    : Arrays.binarySearch(groupShares, chance.nextDouble() * groupShares[groupShares.length - 1]);
             group = Spread.mix(Math.min(groupShares.length - 1, g < 0 ? -g - 1 : g) + 1L) | 1;
         }
         new Visit(this, work, chance.nextLong() | 1, group, life).begin();
@@ -172,22 +197,35 @@
     }
 
     /**
-     * Every connection that a client began, by how it was answered, and every one that was up, by how it ended. Counted twice,
-     * where it happened and by what each client holds now; the difference is what nobody can account for.
+     * Every connection that a client began, by how it was answered, and every one that was up, by how it ended. Counted
+     * twice, where it happened and by what each client holds now; the difference is what nobody can account for.
      */
     public Map<String, Long> account() {
         long waiting = opened.values().stream().filter(ClientLink::waits).count();
         long open = opened.values().stream().filter(ClientLink::isUp).count();
         Map<String, Long> account = new java.util.LinkedHashMap<>();
         account.put("begun", (long) opened.size());
-        for (Series s : List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED, Series.DONE, Series.MOVED, Series.BROKEN)) {
+        for (Series s : List.of(
+                Series.UP,
+                Series.BUSY,
+                Series.ERR,
+                Series.UNHEARD,
+                Series.REFUSED,
+                Series.DONE,
+                Series.MOVED,
+                Series.BROKEN)) {
             account.put(s.says, meter.ever(s));
         }
         account.put("waiting at the end", waiting);
         account.put("open at the end", open);
-        account.put("answers unaccounted for", opened.size() - waiting
-                - meter.ever(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED));
-        account.put("ends unaccounted for", meter.ever(Series.UP) - open - meter.ever(Series.DONE, Series.MOVED, Series.BROKEN));
+        account.put(
+                "answers unaccounted for",
+                opened.size()
+                        - waiting
+                        - meter.ever(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED));
+        account.put(
+                "ends unaccounted for",
+                meter.ever(Series.UP) - open - meter.ever(Series.DONE, Series.MOVED, Series.BROKEN));
         return account;
     }
 
@@ -210,10 +248,10 @@
     protected abstract long wall(long time);
 
     /** The roster service fails in that way, or serves again where null. */
-    protected void rosterGoes(Scenario.Down how) { }
+    protected void rosterGoes(Scenario.Down how) {}
 
     /** A partition begins or ends for that pair: sockets keep connections from coming up. */
-    protected void cut(RelayEnd relay, BackendNode backend, boolean off) { }
+    protected void cut(RelayEnd relay, BackendNode backend, boolean off) {}
 
     /** When that relay was told that the backend drains or is gone; -1 where it was not. */
     protected abstract long drainTold(RelayEnd relay, BackendNode backend);
@@ -224,7 +262,7 @@
     }
 
     /** A backend that joins while the run lasts; sockets give it its addresses. */
-    protected void joined(BackendNode b) { }
+    protected void joined(BackendNode b) {}
 
     BackendNode backend(String address) {
         return byName.get(address);
@@ -232,7 +270,8 @@
 
     final long way(long one, long other) {
         Scenario.Network n = scenario.network();
-        return n.least() + Long.remainderUnsigned(Spread.mix(one * 0x9e3779b97f4a7c15L + other), n.most() - n.least() + 1);
+        return n.least()
+                + Long.remainderUnsigned(Spread.mix(one * 0x9e3779b97f4a7c15L + other), n.most() - n.least() + 1);
     }
 
     /** How long a message takes one way. */
@@ -261,7 +300,8 @@
         if (begins - now() > STORE_FULL) {
             return begins;
         }
-        storeUntil = begins + (long) (scenario.store().work() / (scenario.store().speed() * storeFactor));
+        storeUntil =
+                begins + (long) (scenario.store().work() / (scenario.store().speed() * storeFactor));
         return storeUntil;
     }
 
@@ -316,7 +356,8 @@
     }
 
     private void struck(Trouble t, Consumer<BackendNode> begins, Consumer<BackendNode> ends) {
-        List<BackendNode> struck = drawn(backends.stream().filter(BackendNode::listens).toList(), t.backends());
+        List<BackendNode> struck =
+                drawn(backends.stream().filter(BackendNode::listens).toList(), t.backends());
         note(t.kind().word() + " of " + struck.size() + " backends begins");
         struck.forEach(begins);
         if (ends != null) {
@@ -361,13 +402,16 @@
                 List<RelayEnd> here = drawn(relays, t.relays());
                 long until = now() + t.lasts();
                 List<BackendNode> there = new ArrayList<>();
-                struck(t, b -> {
-                    there.add(b);
-                    here.forEach(r -> {
-                        cutUntil.merge(pair(r, b), until, Math::max);
-                        cut(r, b, true);
-                    });
-                }, null);
+                struck(
+                        t,
+                        b -> {
+                            there.add(b);
+                            here.forEach(r -> {
+                                cutUntil.merge(pair(r, b), until, Math::max);
+                                cut(r, b, true);
+                            });
+                        },
+                        null);
                 clock.after(t.lasts(), () -> {
                     note("partition ends");
                     cutUntil.values().removeIf(u -> u <= now());
@@ -377,7 +421,7 @@
             case STORE_SLOW -> whole(t, () -> storeFactor = 1 / t.factor(), () -> storeFactor = 1);
             case HOT_GROUP -> whole(t, () -> hot = t.factor(), () -> hot = 0);
             case BURST -> whole(t, () -> burst = t.factor(), () -> burst = 1);
-            case BAD_CLIENTS -> whole(t, () -> badClients(t, now() + t.lasts()), () -> { });
+            case BAD_CLIENTS -> whole(t, () -> badClients(t, now() + t.lasts()), () -> {});
         }
     }
 
--- a/lab/src/test/java/ambertrestle/lab/JudgeTest.java
+++ b/lab/src/test/java/ambertrestle/lab/JudgeTest.java
@@ -26,10 +26,12 @@
 class JudgeTest {
     private static final String KILL = "[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nlasts = \"2s\"\nbackends = 2\n";
     private static final String DRAIN = "[[trouble]]\nkind = \"drain\"\nat = \"1s\"\nlasts = \"6s\"\nbackends = 2\n";
-    private static final String SILENT = "[[trouble]]\nkind = \"silent-accept\"\nat = \"1s\"\nlasts = \"5s\"\nbackends = 2\n";
+    private static final String SILENT =
+            "[[trouble]]\nkind = \"silent-accept\"\nat = \"1s\"\nlasts = \"5s\"\nbackends = 2\n";
     private static final String BURST = "[[trouble]]\nkind = \"burst\"\nat = \"1s\"\nlasts = \"4s\"\nfactor = 40.0\n";
 
-    private static Map<Rule, Long> judged(Scenario s, Decisions.Maker decisions, UnaryOperator<Model.Program> change) throws Exception {
+    private static Map<Rule, Long> judged(Scenario s, Decisions.Maker decisions, UnaryOperator<Model.Program> change)
+            throws Exception {
         Model world = new Model(s, sight -> decisions, change, 3);
         world.run(second -> true);
         return world.judge.counts();
@@ -45,8 +47,13 @@
     }
 
     private static boolean answers(Effect e, String... words) {
-        return e instanceof Effect.OnWire w && w.ask() instanceof Ask.Write write && write.socket() > 0
-                && List.of(words).contains(new String(write.line(), java.nio.charset.StandardCharsets.UTF_8).strip().split(" ")[0]);
+        return e instanceof Effect.OnWire w
+                && w.ask() instanceof Ask.Write write
+                && write.socket() > 0
+                && List.of(words)
+                        .contains(new String(write.line(), java.nio.charset.StandardCharsets.UTF_8)
+                                .strip()
+                                .split(" ")[0]);
     }
 
     @Test
@@ -58,52 +65,69 @@
     @Test
     void twoFinalAnswersAreCaught() throws Exception {
         UnaryOperator<Model.Program> twice = effects(e -> answers(e, "BUSY", "ERR") ? List.of(e, e) : List.of(e));
-        assertThat(judged(Worlds.small(SILENT + BURST), Balancer::new, twice).get(Rule.NOTHING_AFTER_IT)).isPositive();
+        assertThat(judged(Worlds.small(SILENT + BURST), Balancer::new, twice).get(Rule.NOTHING_AFTER_IT))
+                .isPositive();
     }
 
     @Test
     void anAssociationThatIsClosedWithNoAnswerIsCaught() throws Exception {
         UnaryOperator<Model.Program> mute = effects(e -> answers(e, "BUSY", "ERR") ? List.of() : List.of(e));
-        assertThat(judged(Worlds.small(SILENT + BURST), Balancer::new, mute).get(Rule.ONE_FINAL_ANSWER)).isPositive();
+        assertThat(judged(Worlds.small(SILENT + BURST), Balancer::new, mute).get(Rule.ONE_FINAL_ANSWER))
+                .isPositive();
     }
 
     @Test
     void anAssociationThatIsKeptAndForgottenIsCaught() throws Exception {
         UnaryOperator<Model.Program> forgets = effects(e -> e instanceof Effect.OnWire w
-                && (w.ask() instanceof Ask.Write x && x.socket() > 0 && x.socket() % 10 == 0
-                || w.ask() instanceof Ask.Close c && c.socket() > 0 && c.socket() % 10 == 0) ? List.of() : List.of(e));
-        assertThat(judged(Worlds.small(""), Balancer::new, forgets).get(Rule.ONE_FINAL_ANSWER)).isPositive();
+                        && (w.ask() instanceof Ask.Write x && x.socket() > 0 && x.socket() % 10 == 0
+                                || w.ask() instanceof Ask.Close c && c.socket() > 0 && c.socket() % 10 == 0)
+                ? List.of()
+                : List.of(e));
+        assertThat(judged(Worlds.small(""), Balancer::new, forgets).get(Rule.ONE_FINAL_ANSWER))
+                .isPositive();
     }
 
     @Test
     void aConnectionCutOffWithNoMoveIsCaught() throws Exception {
         UnaryOperator<Model.Program> rude = program -> {
             TreeMap<Long, Integer> lines = new TreeMap<>();
-            return effects(e -> answers(e, "R") && lines.merge(((Ask.Write) ((Effect.OnWire) e).ask()).socket(), 1, Integer::sum) == 1
-                    && ((Ask.Write) ((Effect.OnWire) e).ask()).socket() % 10 == 0
-                    ? List.of(e, new Effect.OnWire(new Ask.Close(((Ask.Write) ((Effect.OnWire) e).ask()).socket()))) : List.of(e)).apply(program);
+            return effects(e -> answers(e, "R")
+                                    && lines.merge(((Ask.Write) ((Effect.OnWire) e).ask()).socket(), 1, Integer::sum)
+                                            == 1
+                                    && ((Ask.Write) ((Effect.OnWire) e).ask()).socket() % 10 == 0
+                            ? List.of(
+                                    e,
+                                    new Effect.OnWire(new Ask.Close(((Ask.Write) ((Effect.OnWire) e).ask()).socket())))
+                            : List.of(e))
+                    .apply(program);
         };
-        assertThat(judged(Worlds.small(""), Balancer::new, rude).get(Rule.ONE_FINAL_ANSWER)).isPositive();
+        assertThat(judged(Worlds.small(""), Balancer::new, rude).get(Rule.ONE_FINAL_ANSWER))
+                .isPositive();
     }
 
     @Test
     void aBindingAssociationSentTwiceIsCaught() throws Exception {
-        assertThat(judged(Worlds.small(SILENT), Again::new, p -> p).get(Rule.NO_EFFECT_TWICE)).isPositive();
+        assertThat(judged(Worlds.small(SILENT), Again::new, p -> p).get(Rule.NO_EFFECT_TWICE))
+                .isPositive();
     }
 
     @Test
     void aBindingAssociationShedThatMayHaveRunIsCaught() throws Exception {
-        assertThat(judged(Worlds.small(SILENT), Sheds::new, p -> p).get(Rule.SHED_THAT_MAY_HAVE_RUN)).isPositive();
+        assertThat(judged(Worlds.small(SILENT), Sheds::new, p -> p).get(Rule.SHED_THAT_MAY_HAVE_RUN))
+                .isPositive();
     }
 
     @Test
     void aDispatchAfterADrainIsCaught() throws Exception {
-        assertThat(judged(Worlds.small(DRAIN), ToTheDrained::new, p -> p).get(Rule.DRAINS_KEPT)).isPositive();
+        assertThat(judged(Worlds.small(DRAIN), ToTheDrained::new, p -> p).get(Rule.DRAINS_KEPT))
+                .isPositive();
     }
 
     @Test
     void aColdBackendPushedOverIsCaught() throws Exception {
-        assertThat(judged(Worlds.small(KILL + BURST), ToTheYoungest::new, p -> p).get(Rule.COLD_KEPT)).isPositive();
+        assertThat(judged(Worlds.small(KILL + BURST), ToTheYoungest::new, p -> p)
+                        .get(Rule.COLD_KEPT))
+                .isPositive();
     }
 
     /** The module, but for what a test changes. */
@@ -173,7 +197,8 @@
 
         @Override
         public Answer after(Association a, int dispatch, Outcome outcome, boolean finished, long now) {
-            return module.after(a, dispatch, outcome == Outcome.TIMED_OUT ? Outcome.NOT_CONNECTED : outcome, finished, now);
+            return module.after(
+                    a, dispatch, outcome == Outcome.TIMED_OUT ? Outcome.NOT_CONNECTED : outcome, finished, now);
         }
     }
 
@@ -198,8 +223,22 @@
 
         @Override
         public void roster(List<Listed> lines, boolean whole, boolean cached, long now) {
-            module.roster(lines.stream().map(l -> l.stage() == Stage.DRAINING ? new Listed(l.backend(), Stage.READY, l.startedAt(), l.cell(),
-                    l.weight(), l.zone(), l.kind()) : l).toList(), whole, cached, now);
+            module.roster(
+                    lines.stream()
+                            .map(l -> l.stage() == Stage.DRAINING
+                                    ? new Listed(
+                                            l.backend(),
+                                            Stage.READY,
+                                            l.startedAt(),
+                                            l.cell(),
+                                            l.weight(),
+                                            l.zone(),
+                                            l.kind())
+                                    : l)
+                            .toList(),
+                    whole,
+                    cached,
+                    now);
         }
     }
 
@@ -219,8 +258,13 @@
                     started.put(l.backend(), l.startedAt());
                 }
             });
-            module.roster(started.entrySet().stream().max(Map.Entry.comparingByValue()).stream()
-                    .map(e -> new Listed(e.getKey(), Stage.READY, 0, 0, 1, 0, 0)).toList(), true, cached, now);
+            module.roster(
+                    started.entrySet().stream().max(Map.Entry.comparingByValue()).stream()
+                            .map(e -> new Listed(e.getKey(), Stage.READY, 0, 0, 1, 0, 0))
+                            .toList(),
+                    true,
+                    cached,
+                    now);
         }
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/ModelTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ModelTest.java
@@ -25,7 +25,8 @@
 
     private int run(String name, Object... more) throws Exception {
         Path file = dir.resolve("small.toml");
-        Files.writeString(file, Worlds.SMALL + "[[trouble]]\nkind = \"kill\"\nat = \"2s\"\nlasts = \"2s\"\nbackends = 2\n");
+        Files.writeString(
+                file, Worlds.SMALL + "[[trouble]]\nkind = \"kill\"\nat = \"2s\"\nlasts = \"2s\"\nbackends = 2\n");
         String[] args = new String[4 + more.length];
         args[0] = "run";
         args[1] = file.toString();
@@ -39,25 +40,33 @@
 
     @Test
     void oneFileAndOneSeedGiveTheSameBytesHoweverManyRunSideBySide() throws Exception {
-        assertThat(run("one", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 1)).isZero();
-        assertThat(run("other", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 4)).isZero();
-        assertThat(Files.readString(dir.resolve("one/summary.json"))).isEqualTo(Files.readString(dir.resolve("other/summary.json")));
+        assertThat(run("one", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 1))
+                .isZero();
+        assertThat(run("other", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 4))
+                .isZero();
+        assertThat(Files.readString(dir.resolve("one/summary.json")))
+                .isEqualTo(Files.readString(dir.resolve("other/summary.json")));
         assertThat(Files.readString(dir.resolve("one/summary.json"))).contains("\"of the oracle's\"");
-        assertThat(Files.readString(dir.resolve("one/report.html"))).contains("data:image/png;base64,").contains("kill of 2 backends begins");
+        assertThat(Files.readString(dir.resolve("one/report.html")))
+                .contains("data:image/png;base64,")
+                .contains("kill of 2 backends begins");
     }
 
     @Test
     void anotherSeedIsAnotherRun() throws Exception {
         run("one", "--seeds", "1");
         run("other", "--seeds", "2");
-        assertThat(Files.readString(dir.resolve("one/summary.json"))).isNotEqualTo(Files.readString(dir.resolve("other/summary.json")));
+        assertThat(Files.readString(dir.resolve("one/summary.json")))
+                .isNotEqualTo(Files.readString(dir.resolve("other/summary.json")));
         assertThat(Summary.compare(dir.resolve("one"), dir.resolve("other"))).contains("one seed: nothing can be said");
     }
 
     @Test
     void comparingARunWithItselfFindsNoise() throws Exception {
         run("one", "--seeds", "1-3");
-        assertThat(Summary.compare(dir.resolve("one"), dir.resolve("one"))).contains("noise").doesNotContain("better");
+        assertThat(Summary.compare(dir.resolve("one"), dir.resolve("one")))
+                .contains("noise")
+                .doesNotContain("better");
     }
 
     /** What is accounted for: each arrival ends in exactly one way while nothing is in trouble. */
@@ -66,8 +75,10 @@
         Model world = new Model(Worlds.small(""), "module", 1);
         world.run(second -> true);
         assertThat(world.judge.kept()).isTrue();
-        assertThat(world.meter.sum(Series.UP)).isBetween(world.meter.sum(Series.OPENS) - 5, world.meter.sum(Series.OPENS) + 5);
-        assertThat(world.meter.sum(Series.BENEFIT) / world.meter.sum(Series.OFFERED)).isGreaterThan(0.98);
+        assertThat(world.meter.sum(Series.UP))
+                .isBetween(world.meter.sum(Series.OPENS) - 5, world.meter.sum(Series.OPENS) + 5);
+        assertThat(world.meter.sum(Series.BENEFIT) / world.meter.sum(Series.OFFERED))
+                .isGreaterThan(0.98);
     }
 
     @Test
@@ -84,7 +95,11 @@
     @Test
     void theLoadDoesNotSlowDownWhenTheFleetDoes() throws Exception {
         Model quiet = new Model(Worlds.small(""), "module", 1);
-        Model slow = new Model(Worlds.small("[[trouble]]\nkind = \"slow\"\nat = \"0s\"\nlasts = \"8s\"\nfactor = 0.01\nbackends = 6\n"), "module", 1);
+        Model slow = new Model(
+                Worlds.small(
+                        "[[trouble]]\nkind = \"slow\"\nat = \"0s\"\nlasts = \"8s\"\nfactor = 0.01\nbackends = 6\n"),
+                "module",
+                1);
         quiet.run(second -> true);
         slow.run(second -> true);
         double arrivals = slow.meter.sum(Series.OFFERED) / quiet.meter.sum(Series.OFFERED);
--- a/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
@@ -26,8 +26,11 @@
         for (Path file : Worlds.shipped()) {
             Scenario s = Scenario.read(file);
             s.troubles().forEach(t -> kinds.add(t.kind()));
-            overlapping += s.troubles().stream().anyMatch(t -> s.troubles().stream().anyMatch(o -> o.kind() != t.kind()
-                    && o.at() < t.at() + t.lasts() && t.at() < o.at() + o.lasts())) ? 1 : 0;
+            overlapping += s.troubles().stream().anyMatch(t -> s.troubles().stream()
+                            .anyMatch(o ->
+                                    o.kind() != t.kind() && o.at() < t.at() + t.lasts() && t.at() < o.at() + o.lasts()))
+                    ? 1
+                    : 0;
         }
         assertThat(kinds).containsExactlyInAnyOrder(Kind.values());
         assertThat(overlapping).isGreaterThanOrEqualTo(3);
@@ -35,7 +38,9 @@
 
     @Test
     void everyFaultIsNamedByFileLineAndKey() {
-        assertThatThrownBy(() -> Worlds.small("""
+        assertThatThrownBy(
+                        () -> Worlds.small(
+                                """
                 [[trouble]]
                 kind = "kil"
                 at = "1s"
@@ -44,24 +49,34 @@
                 at = "ten"
                 factor = -1
                 backend = 2
-                """)).isInstanceOf(Scenario.Faulty.class).hasMessageContaining("small.toml:23: trouble[1].kind is not known")
-                .hasMessageContaining("the nearest known is kill").hasMessageContaining("small.toml:27: trouble[2].at is malformed: expected a time")
-                .hasMessageContaining("small.toml:28: trouble[2].factor is malformed").hasMessageContaining(
-                        "small.toml:29: trouble[2].backend is not known; the nearest known is backends");
+                """))
+                .isInstanceOf(Scenario.Faulty.class)
+                .hasMessageContaining("small.toml:23: trouble[1].kind is not known")
+                .hasMessageContaining("the nearest known is kill")
+                .hasMessageContaining("small.toml:27: trouble[2].at is malformed: expected a time")
+                .hasMessageContaining("small.toml:28: trouble[2].factor is malformed")
+                .hasMessageContaining("small.toml:29: trouble[2].backend is not known; the nearest known is backends");
     }
 
     @Test
     void whatIsKeptAndHowARosterServiceFailsIsCheckedToo() {
-        assertThatThrownBy(() -> Worlds.small("""
+        assertThatThrownBy(
+                        () -> Worlds.small(
+                                """
                 [[trouble]]
                 kind = "roster-down"
                 at = "1s"
                 how = "answers-504"
-                """)).hasMessageContaining("trouble[1].how is not known: expected one of refuses, hangs, "
+                """))
+                .hasMessageContaining("trouble[1].how is not known: expected one of refuses, hangs, "
                         + "answers-503, half-a-line; the nearest known is answers-503, got answers-504");
-        assertThatThrownBy(() -> Scenario.read(ambertrestle.relay.sheet.Sheet.parse("s.toml", Worlds.SMALL.replace("count = 2\n",
-                "count = 2\nkept = \"yes\"\nknown = \"some\"\n").replace("length = ", "count-from = \"9s\"\nlength = "))))
-                .hasMessageContaining("relays.kept is malformed: expected true or false").hasMessageContaining("relays.known is not known")
+        assertThatThrownBy(() -> Scenario.read(ambertrestle.relay.sheet.Sheet.parse(
+                        "s.toml",
+                        Worlds.SMALL
+                                .replace("count = 2\n", "count = 2\nkept = \"yes\"\nknown = \"some\"\n")
+                                .replace("length = ", "count-from = \"9s\"\nlength = "))))
+                .hasMessageContaining("relays.kept is malformed: expected true or false")
+                .hasMessageContaining("relays.known is not known")
                 .hasMessageContaining("count-from is malformed: expected a time before the run's length");
     }
 
@@ -71,7 +86,9 @@
         Files.writeString(file, Worlds.SMALL.replace("rate = 40.0", "rate = \"many\""));
         StringWriter err = new StringWriter();
         CommandLine line = Lab.commandLine().setErr(new PrintWriter(err));
-        assertThat(line.execute("run", file.toString(), "--out", dir.resolve("out").toString())).isEqualTo(1);
+        assertThat(line.execute(
+                        "run", file.toString(), "--out", dir.resolve("out").toString()))
+                .isEqualTo(1);
         assertThat(err.toString()).contains("faulty.toml:15: use-case[1].rate is malformed: expected a number");
         assertThat(dir.resolve("out")).doesNotExist();
     }
@@ -81,8 +98,10 @@
         Path file = dir.resolve("small.toml");
         Files.writeString(file, Worlds.SMALL);
         StringWriter err = new StringWriter();
-        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--policy", "best")).isEqualTo(2);
-        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--seeds", "5-1")).isEqualTo(2);
+        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--policy", "best"))
+                .isEqualTo(2);
+        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--seeds", "5-1"))
+                .isEqualTo(2);
         assertThat(err.toString()).contains("--policy best is not known").contains("--seeds is malformed");
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/SocketsTest.java
+++ b/lab/src/test/java/ambertrestle/lab/SocketsTest.java
@@ -14,6 +14,7 @@
 /** The shipped scenario on sockets, against the daemon's jar as the build has just made it. */
 class SocketsTest {
     private static final Path JAR = Path.of("..", "relay", "target", "ambertrestle.jar");
+
     @TempDir
     private Path dir;
 
@@ -24,10 +25,20 @@
     }
 
     private static void rulesAreKept(SocketWorld world) {
-        assertThat(world.account()).containsEntry("answers unaccounted for", 0L).containsEntry("ends unaccounted for", 0L);
-        for (Rule rule : new Rule[] {Rule.NOTHING_AFTER_IT, Rule.NO_EFFECT_TWICE, Rule.SHED_THAT_MAY_HAVE_RUN, Rule.DRAINS_KEPT,
-            Rule.COLD_KEPT, Rule.STRAYS_KEPT_OUT}) {
-            assertThat(world.judge.counts().get(rule)).as(rule.says + " " + world.judge.breaches()).isZero();
+        assertThat(world.account())
+                .containsEntry("answers unaccounted for", 0L)
+                .containsEntry("ends unaccounted for", 0L);
+        for (Rule rule : new Rule[] {
+            Rule.NOTHING_AFTER_IT,
+            Rule.NO_EFFECT_TWICE,
+            Rule.SHED_THAT_MAY_HAVE_RUN,
+            Rule.DRAINS_KEPT,
+            Rule.COLD_KEPT,
+            Rule.STRAYS_KEPT_OUT
+        }) {
+            assertThat(world.judge.counts().get(rule))
+                    .as(rule.says + " " + world.judge.breaches())
+                    .isZero();
         }
     }
 
@@ -38,7 +49,9 @@
         rulesAreKept(world);
         assertThat(world.meter.sum(Series.UP)).isGreaterThan(100);
         assertThat(world.meter.sum(Series.DONE)).isPositive();
-        assertThat(world.meter.sum(Series.BROKEN)).as("the dead backend's and the dead relay's").isPositive();
+        assertThat(world.meter.sum(Series.BROKEN))
+                .as("the dead backend's and the dead relay's")
+                .isPositive();
         assertThat(world.meter.sum(Series.RETURNS)).isPositive();
         assertThat(world.happened()).anyMatch(line -> line.contains("relay-kill of 1 relays begins"));
     }
@@ -51,10 +64,16 @@
         for (String relay : new String[] {"relay-0", "relay-1"}) {
             int died = indexOf(world, "relay-kill of 2 relays begins");
             int up = indexOf(world, relay + " has its first UP");
-            assertThat(up).as(world.happened().toString()).isGreaterThan(died).isLessThan(indexOf(world, "roster-down ends"));
+            assertThat(up)
+                    .as(world.happened().toString())
+                    .isGreaterThan(died)
+                    .isLessThan(indexOf(world, "roster-down ends"));
             String log = Files.readString(dir.resolve(relay + ".log"));
-            assertThat(log).contains("start-from-known: ").contains("start-from-kept: begins with the kept list of 8 backends")
-                    .contains("until the roster service is heard all count as cold").contains("converging: ");
+            assertThat(log)
+                    .contains("start-from-known: ")
+                    .contains("start-from-kept: begins with the kept list of 8 backends")
+                    .contains("until the roster service is heard all count as cold")
+                    .contains("converging: ");
         }
     }
 
@@ -73,6 +92,8 @@
         SocketWorld world = played("short-partition.toml");
         rulesAreKept(world);
         assertThat(world.meter.sum(Series.UP)).isGreaterThan(50);
-        assertThat(world.happened()).anyMatch(line -> line.contains("partition of 3 backends begins")).anyMatch(line -> line.endsWith("partition ends"));
+        assertThat(world.happened())
+                .anyMatch(line -> line.contains("partition of 3 backends begins"))
+                .anyMatch(line -> line.endsWith("partition ends"));
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/Worlds.java
+++ b/lab/src/test/java/ambertrestle/lab/Worlds.java
@@ -9,9 +9,10 @@
 
 /** Small scenarios for tests, written as users write them. */
 final class Worlds {
-    private Worlds() { }
+    private Worlds() {}
 
-    static final String SMALL = """
+    static final String SMALL =
+            """
             name = "small"
             warm-up = "2s"
             length = "8s"
--- a/relay/src/main/java/ambertrestle/Main.java
+++ b/relay/src/main/java/ambertrestle/Main.java
@@ -12,11 +12,13 @@
     private Main() {}
 
     public static void main(String[] args) {
-        // Danger: a relay restarts with part of a core while clients wait; it does not pay for reading options it has not.
+        // Danger: a relay restarts with part of a core while clients wait; it does not pay for reading options it has
+        // not.
         if (args.length == 1 && args[0].equals("serve")) {
             Serve.run(System.getenv(), Log.Form.TEXT, null);
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
-            // The same for the one option that a relay which keeps its state is always started with: a fifth of its start.
+            // The same for the one option that a relay which keeps its state is always started with: a fifth of its
+            // start.
             OperatorFile file = Cli.operatorFile(Path.of(args[2]), new PrintWriter(System.err, true));
             if (file == null) {
                 System.exit(1);
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -33,11 +33,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line. Exit codes: 0 fine, 1 faulty input or a start that failed, 2 wrong usage, 143 told to stop by SIGTERM. */
-@Command(name = "ambertrestle", mixinStandardHelpOptions = true, version = "ambertrestle 0.2.0",
+/**
+ * The command line. Exit codes: 0 fine, 1 faulty input or a start that failed, 2 wrong usage, 143 told to stop by
+ * SIGTERM.
+ */
+@Command(
+        name = "ambertrestle",
+        mixinStandardHelpOptions = true,
+        version = "ambertrestle 0.2.0",
         description = "A balancer for long-lived connections.",
         subcommands = {Cli.ServeIt.class, Cli.Simulate.class, Cli.Check.class, Cli.Place.class, StateCommand.class},
-        footer = {"", "Exit codes: 0 fine; 1 faulty input, or a start that failed; 2 wrong usage; 143 ended by SIGTERM."})
+        footer = {"", "Exit codes: 0 fine; 1 faulty input, or a start that failed; 2 wrong usage; 143 ended by SIGTERM."
+        })
 public final class Cli implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -56,16 +63,30 @@
     static final class ServeIt implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--config", paramLabel = "FILE", description = "The configuration, JSON; default: $BALANCER_CONFIG.")
+
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                description = "The configuration, JSON; default: $BALANCER_CONFIG.")
         private String config;
-        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, TOML; default: none, nothing more is on.")
+
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                description = "The operator file, TOML; default: none, nothing more is on.")
         private Path operator;
-        @Option(names = "--log-format", paramLabel = "text|json", description = "How the log is written; default: text.")
+
+        @Option(
+                names = "--log-format",
+                paramLabel = "text|json",
+                description = "How the log is written; default: text.")
         private Log.Form form;
 
         @Override
         public Integer call() throws InterruptedException {
-            OperatorFile file = operator == null ? OperatorFile.NONE : operatorFile(operator, spec.commandLine().getErr());
+            OperatorFile file = operator == null
+                    ? OperatorFile.NONE
+                    : operatorFile(operator, spec.commandLine().getErr());
             if (file == null) {
                 return 1;
             }
@@ -80,7 +101,10 @@
         }
     }
 
-    @Command(name = "simhost", mixinStandardHelpOptions = true, description = "Many relays on the simulator's wire: standard input and output.")
+    @Command(
+            name = "simhost",
+            mixinStandardHelpOptions = true,
+            description = "Many relays on the simulator's wire: standard input and output.")
     static final class Simulate implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -114,13 +138,21 @@
         return 1;
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Reads the configuration and an operator file, names every fault by file, line and key, and starts nothing.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads the configuration and an operator file, names every fault by file, line and key, and starts nothing.")
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--config", paramLabel = "FILE", description = "The configuration, JSON; default: $BALANCER_CONFIG, where it is set.")
+
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                description = "The configuration, JSON; default: $BALANCER_CONFIG, where it is set.")
         private String config;
+
         @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, TOML.")
         private Path operator;
 
@@ -156,17 +188,32 @@
         }
     }
 
-    @Command(name = "place", mixinStandardHelpOptions = true,
-            description = "Says for each key which backend a relay just started would pick: one `key backend` a line, `-` for none.")
+    @Command(
+            name = "place",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Says for each key which backend a relay just started would pick: one `key backend` a line, `-` for none.")
     static final class Place implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--config", paramLabel = "FILE", required = true, description = "The configuration whose settings hold, JSON.")
+
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                required = true,
+                description = "The configuration whose settings hold, JSON.")
         private String config;
-        @Option(names = "--roster", paramLabel = "FILE",
-                description = "The list of backends in the roster service's form, JSON; default: `known` of the configuration.")
+
+        @Option(
+                names = "--roster",
+                paramLabel = "FILE",
+                description =
+                        "The list of backends in the roster service's form, JSON; default: `known` of the configuration.")
         private Path roster;
-        @Parameters(paramLabel = "KEY", description = "Keys, up to 64 bits of hex each; none: one a line from standard input.")
+
+        @Parameters(
+                paramLabel = "KEY",
+                description = "Keys, up to 64 bits of hex each; none: one a line from standard input.")
         private List<String> keys = new ArrayList<>();
 
         @Override
@@ -175,8 +222,15 @@
             RunSheet sheet;
             RosterMessage message;
             try {
-                sheet = RunSheet.read(Map.of("BALANCER_CONFIG", config, "BALANCER_LISTEN", "127.0.0.1:1", "BALANCER_DISCOVERY", "127.0.0.1:1"));
-                message = roster == null ? sheet.known() : RosterMessage.decode(new JsonObject(Files.readString(roster)));
+                sheet = RunSheet.read(Map.of(
+                        "BALANCER_CONFIG",
+                        config,
+                        "BALANCER_LISTEN",
+                        "127.0.0.1:1",
+                        "BALANCER_DISCOVERY",
+                        "127.0.0.1:1"));
+                message =
+                        roster == null ? sheet.known() : RosterMessage.decode(new JsonObject(Files.readString(roster)));
             } catch (RunSheet.BadSheet e) {
                 err.println("ambertrestle: " + config + ": " + e.getMessage());
                 return 1;
@@ -193,13 +247,15 @@
             Placement placement = new Placement(sheet.values(), message, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
             int line = 0;
-            BufferedReader in = keys.isEmpty() ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
+            BufferedReader in = keys.isEmpty()
+                    ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
                     : new BufferedReader(new java.io.StringReader(String.join("\n", keys)));
             for (String key = in.readLine(); key != null; key = in.readLine()) {
                 line++;
                 if (!key.strip().matches("[0-9a-fA-F]{1,16}") || Long.parseUnsignedLong(key.strip(), 16) == 0) {
                     out.flush();
-                    err.println("ambertrestle: key " + line + " is malformed: expected 1 to 16 digits of hex, not 0, got " + key);
+                    err.println("ambertrestle: key " + line
+                            + " is malformed: expected 1 to 16 digits of hex, not 0, got " + key);
                     return 1;
                 }
                 String backend = placement.pick(Long.parseUnsignedLong(key.strip(), 16));
--- a/relay/src/main/java/ambertrestle/relay/durable/Folder.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/Folder.java
@@ -9,11 +9,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The two newest generations of a relay's state in one folder. A file has its name only once it is whole: it is written under
- * another, synced, renamed, and the folder synced, before the generation before the last goes. One user at a time.
+ * The two newest generations of a relay's state in one folder. A file has its name only once it is whole: it is written
+ * under another, synced, renamed, and the folder synced, before the generation before the last goes. One user at a
+ * time.
  */
 final class Folder {
-    private static final Pattern NAME = Pattern.compile("state-(\\d{18})"), HALF = Pattern.compile("state-\\d{18}\\.new");
+    private static final Pattern NAME = Pattern.compile("state-(\\d{18})"),
+            HALF = Pattern.compile("state-\\d{18}\\.new");
     private static final int GENERATIONS = 2;
 
     private final Disk disk;
@@ -22,13 +24,14 @@
     private final long mostBytes;
     /** Files that are this relay's to delete, oldest first. */
     private final List<String> ours = new ArrayList<>();
+
     private long generation;
 
     /** One file that was not taken, and why. */
-    record Passed(String file, Refused why) { }
+    record Passed(String file, Refused why) {}
 
     /** The newest that is whole and this relay's, or null, and those passed over before it was met. */
-    record Found(Picture picture, List<Passed> passed) { }
+    record Found(Picture picture, List<Passed> passed) {}
 
     Folder(Disk disk, String relay, long mostAge, long mostBytes) {
         this.disk = disk;
@@ -39,7 +42,8 @@
 
     /** Reads it all; call it once, before the first write. */
     Found read(long now) throws IOException {
-        List<String> files = new ArrayList<>(disk.names().stream().filter(n -> NAME.matcher(n).matches()).toList());
+        List<String> files = new ArrayList<>(
+                disk.names().stream().filter(n -> NAME.matcher(n).matches()).toList());
         files.sort(Comparator.reverseOrder());
         Picture found = null;
         List<Passed> passed = new ArrayList<>();
@@ -56,7 +60,10 @@
                     passed.add(new Passed(file, e));
                 }
                 // What another relay or a later version may still want is left where it is.
-                if (e.reason == Reason.TORN || e.reason == Reason.CHECKSUM || e.reason == Reason.MALFORMED || e.reason == Reason.TOO_OLD) {
+                if (e.reason == Reason.TORN
+                        || e.reason == Reason.CHECKSUM
+                        || e.reason == Reason.MALFORMED
+                        || e.reason == Reason.TOO_OLD) {
                     ours.add(0, file);
                 }
             }
--- a/relay/src/main/java/ambertrestle/relay/durable/Hand.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/Hand.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What has changed since the last hand-over, gathered on the event loop a part at a time. A list that changes again and again
- * while the disk stalls takes the room of one list.
+ * What has changed since the last hand-over, gathered on the event loop a part at a time. A list that changes again and
+ * again while the disk stalls takes the room of one list.
  */
 public final class Hand {
     private final Map<String, RosterMessage.Line> lines = new LinkedHashMap<>();
--- a/relay/src/main/java/ambertrestle/relay/durable/Keeper.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/Keeper.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Owns a relay's folder: reads it once at the start, then writes one generation after the other. Every call blocks on the disk,
- * so after the start they come from one thread beside the event loop, one at a time.
+ * Owns a relay's folder: reads it once at the start, then writes one generation after the other. Every call blocks on
+ * the disk, so after the start they come from one thread beside the event loop, one at a time.
  */
 public final class Keeper implements AutoCloseable {
     private final Disk disk;
@@ -38,7 +38,11 @@
         } catch (IOException e) {
             // Danger: a folder that cannot be written to is no reason not to serve, nor not to read what is in it.
             keeper.failing = true;
-            said.add(new Said(true, "state-not-kept", "what this relay learns is not kept: " + why(e), Map.of("folder", sheet.folder().toString())));
+            said.add(new Said(
+                    true,
+                    "state-not-kept",
+                    "what this relay learns is not kept: " + why(e),
+                    Map.of("folder", sheet.folder().toString())));
         }
         return keeper;
     }
@@ -48,12 +52,16 @@
         try {
             Folder.Found found = folder.read(now);
             for (Folder.Passed p : found.passed()) {
-                said.add(new Said(true, "state-refused", p.file() + " " + p.why().getMessage(),
+                said.add(new Said(
+                        true,
+                        "state-refused",
+                        p.file() + " " + p.why().getMessage(),
                         Map.of("file", p.file(), "reason", p.why().reason.word())));
             }
             return found.picture();
         } catch (IOException e) {
-            said.add(new Said(true, "state-refused", "the folder cannot be read: " + why(e), Map.of("reason", "unreadable")));
+            said.add(new Said(
+                    true, "state-refused", "the folder cannot be read: " + why(e), Map.of("reason", "unreadable")));
             return null;
         }
     }
@@ -63,7 +71,10 @@
         mirror.begin(rosterAt, heardAt, list);
     }
 
-    /** Takes the changes in and keeps one more generation; `rosterAt` null: no roster service was heard. The line to log, or null. */
+    /**
+     * Takes the changes in and keeps one more generation; `rosterAt` null: no roster service was heard. The line to
+     * log, or null.
+     */
     public Said write(Hand hand, String rosterAt, long heardAt, long now) {
         hand.into(mirror);
         if (rosterAt != null) {
@@ -86,14 +97,21 @@
         } catch (IOException e) {
             boolean first = !failing;
             failing = true;
-            return first ? new Said(true, "state-not-kept", "what this relay learns is not kept: " + why(e), Map.of()) : null;
+            return first
+                    ? new Said(true, "state-not-kept", "what this relay learns is not kept: " + why(e), Map.of())
+                    : null;
         }
         if (failing) {
             failing = false;
             return new Said(false, "state-kept-again", "what this relay learns is kept again", Map.of());
         }
-        return without ? new Said(true, "state-too-large", "pins are not kept: with them the file is larger than durable.most-megabytes",
-                Map.of()) : null;
+        return without
+                ? new Said(
+                        true,
+                        "state-too-large",
+                        "pins are not kept: with them the file is larger than durable.most-megabytes",
+                        Map.of())
+                : null;
     }
 
     private static String why(IOException e) {
--- a/relay/src/main/java/ambertrestle/relay/durable/Mirror.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/Mirror.java
@@ -12,8 +12,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What a relay would keep, put together from the changes it hands over, so that the event loop never copies all of it. Whoever
- * writes it owns it; no I/O here. It holds what the relay itself holds and no more: a pin that went there goes here.
+ * What a relay would keep, put together from the changes it hands over, so that the event loop never copies all of it.
+ * Whoever writes it owns it; no I/O here. It holds what the relay itself holds and no more: a pin that went there goes
+ * here.
  */
 public final class Mirror {
     private final String relay;
@@ -23,6 +24,7 @@
     private final Map<Long, Judged> judged = new HashMap<>();
     /** Least lately changed first. */
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>();
+
     private long table;
     private Kept.Whole whole = Kept.Whole.NOTHING;
 
@@ -62,10 +64,13 @@
 
     /** All of it now: judgments of backends that are listed, the pins changed last at the end. */
     public Picture picture(long now) {
-        judged.keySet().retainAll(list.lines().stream().map(l -> RosterMessage.id(l.name())).collect(Collectors.toSet()));
+        judged.keySet()
+                .retainAll(list.lines().stream()
+                        .map(l -> RosterMessage.id(l.name()))
+                        .collect(Collectors.toSet()));
         List<Judged> sorted = new ArrayList<>(judged.values());
         sorted.sort((x, y) -> Long.compareUnsigned(x.backend(), y.backend()));
-        return new Picture(relay, rosterAt, now, heardAt, list,
-                new Kept(table, whole, sorted, List.copyOf(pins.values()), false));
+        return new Picture(
+                relay, rosterAt, now, heardAt, list, new Kept(table, whole, sorted, List.copyOf(pins.values()), false));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/RealDisk.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/RealDisk.java
@@ -71,7 +71,10 @@
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-        try (FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        try (FileChannel file = FileChannel.open(
+                folder.resolve(name),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer left = ByteBuffer.wrap(bytes);
             while (left.hasRemaining()) {
