--- a/relay/src/main/java/ambertrestle/relay/durable/StateFile.java
+++ b/relay/src/main/java/ambertrestle/relay/durable/StateFile.java
@@ -20,8 +20,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The file's bytes, as docs/recovery.md gives them: a head of 32 bytes with version, length and CRC32C, then one CBOR array.
- * Pure: bytes in, values out. What is not whole to the bit is refused with a reason, never half read.
+ * The file's bytes, as docs/recovery.md gives them: a head of 32 bytes with version, length and CRC32C, then one CBOR
+ * array. Pure: bytes in, values out. What is not whole to the bit is refused with a reason, never half read.
  */
 public final class StateFile {
     public static final int VERSION = 1;
@@ -32,9 +32,15 @@
 
     /** Why a file is not read; the words stand in the log. */
     public enum Reason {
-        UNREADABLE("cannot be read"), TOO_LARGE("is larger than durable.most-megabytes"), NOT_OURS("is no state file"),
-        NEWER("was written by a newer version"), TORN("is cut off"), CHECKSUM("has a wrong checksum"), MALFORMED("holds what is no state"),
-        OTHER_RELAY("is another relay's"), TOO_OLD("is older than durable.most-age");
+        UNREADABLE("cannot be read"),
+        TOO_LARGE("is larger than durable.most-megabytes"),
+        NOT_OURS("is no state file"),
+        NEWER("was written by a newer version"),
+        TORN("is cut off"),
+        CHECKSUM("has a wrong checksum"),
+        MALFORMED("holds what is no state"),
+        OTHER_RELAY("is another relay's"),
+        TOO_OLD("is older than durable.most-age");
 
         public final String says;
 
@@ -59,7 +65,7 @@
         }
     }
 
-    private StateFile() { }
+    private StateFile() {}
 
     public static byte[] encode(Picture picture) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(1 << 16);
@@ -71,7 +77,13 @@
         }
         byte[] body = out.toByteArray();
         ByteBuffer all = ByteBuffer.allocate(HEAD + body.length);
-        all.put(MAGIC).putInt(VERSION).putInt(0).putLong(body.length).putInt(0).putInt(0).put(body);
+        all.put(MAGIC)
+                .putInt(VERSION)
+                .putInt(0)
+                .putLong(body.length)
+                .putInt(0)
+                .putInt(0)
+                .put(body);
         all.putInt(24, checksum(all.array()));
         return all.array();
     }
@@ -115,7 +127,9 @@
             }
             return picture;
         } catch (IOException | IllegalArgumentException e) {
-            throw new Refused(Reason.MALFORMED, String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+            throw new Refused(
+                    Reason.MALFORMED,
+                    String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
     }
 
@@ -198,7 +212,8 @@
             if (stage < 1 || stage > 2) {
                 throw new IOException("a backend that is neither ready nor draining");
             }
-            lines.add(new RosterMessage.Line(name, address, STAGES[(int) stage], text(in), text(in), (int) whole(in), number(in), whole(in)));
+            lines.add(new RosterMessage.Line(
+                    name, address, STAGES[(int) stage], text(in), text(in), (int) whole(in), number(in), whole(in)));
             end(in, in.nextToken());
         }
         end(in, in.currentToken());
@@ -207,7 +222,15 @@
         List<Judged> judged = new ArrayList<>();
         begin(in);
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            judged.add(new Judged(whole(in), whole(in), whole(in), number(in), number(in), number(in), whole(in), whole(in),
+            judged.add(new Judged(
+                    whole(in),
+                    whole(in),
+                    whole(in),
+                    number(in),
+                    number(in),
+                    number(in),
+                    whole(in),
+                    whole(in),
                     whole(in)));
             end(in, in.nextToken());
         }
@@ -219,7 +242,12 @@
         }
         end(in, in.currentToken());
         end(in, in.nextToken());
-        return new Picture(relay, rosterAt, keptAt, heardAt, new RosterMessage(index, true, List.copyOf(lines)),
+        return new Picture(
+                relay,
+                rosterAt,
+                keptAt,
+                heardAt,
+                new RosterMessage(index, true, List.copyOf(lines)),
                 new Kept(table, w, List.copyOf(judged), List.copyOf(pins), false));
     }
 
--- a/relay/src/main/java/ambertrestle/relay/life/KeyLines.java
+++ b/relay/src/main/java/ambertrestle/relay/life/KeyLines.java
@@ -20,7 +20,9 @@
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token != JsonToken.END_OBJECT && token != JsonToken.END_ARRAY) {
-                    lines.putIfAbsent(path(parser.getParsingContext()).toLowerCase(Locale.ROOT), parser.currentTokenLocation().getLineNr());
+                    lines.putIfAbsent(
+                            path(parser.getParsingContext()).toLowerCase(Locale.ROOT),
+                            parser.currentTokenLocation().getLineNr());
                 }
             }
         } catch (JsonProcessingException e) {
@@ -36,7 +38,9 @@
     }
 
     private static String path(JsonStreamContext at) {
-        String here = at.inArray() ? Integer.toString(Math.max(0, at.getCurrentIndex())) : String.valueOf(at.getCurrentName());
+        String here = at.inArray()
+                ? Integer.toString(Math.max(0, at.getCurrentIndex()))
+                : String.valueOf(at.getCurrentName());
         JsonStreamContext parent = at.getParent();
         return at.inRoot() ? "" : parent == null || parent.inRoot() ? here : path(parent) + "." + here;
     }
--- a/relay/src/main/java/ambertrestle/relay/life/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/life/Log.java
@@ -23,15 +23,18 @@
  */
 public final class Log {
     /** How lines are written. */
-    public enum Form { TEXT, JSON }
+    public enum Form {
+        TEXT,
+        JSON
+    }
 
     private static final Logger LOG = System.getLogger("ambertrestle");
     /** Rides on a log record as its parameter. */
-    private record Happening(String event, Map<String, String> fields) { }
+    private record Happening(String event, Map<String, String> fields) {}
 
     private static String relay = "";
 
-    private Log() { }
+    private Log() {}
 
     /** Before the first line; `name` is the relay's, a field of every line in JSON. */
     static void begin(Form form, String name) {
@@ -59,25 +62,38 @@
     /** Lines of libraries have no happening: their logger's name stands for the event. */
     private static Happening happening(LogRecord record) {
         Object[] riding = record.getParameters();
-        return riding != null && riding.length == 1 && riding[0] instanceof Happening h ? h
+        return riding != null && riding.length == 1 && riding[0] instanceof Happening h
+                ? h
                 : new Happening(String.valueOf(record.getLoggerName()), Map.of());
     }
 
     private static String level(LogRecord record) {
-        return record.getLevel().intValue() >= java.util.logging.Level.SEVERE.intValue() ? "ERROR" : record.getLevel().getName();
+        return record.getLevel().intValue() >= java.util.logging.Level.SEVERE.intValue()
+                ? "ERROR"
+                : record.getLevel().getName();
     }
 
     static final class Text extends Formatter {
-        private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
+        private static final DateTimeFormatter TIME =
+                DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
         @Override
         public String format(LogRecord record) {
             Happening h = happening(record);
             StringBuilder out = new StringBuilder(160);
             TIME.formatTo(record.getInstant(), out);
-            out.append(' ').append(level(record)).append(' ').append(h.event).append(": ")
-                    .append(h.fields.isEmpty() && h.event.equals(record.getLoggerName()) ? formatMessage(record) : record.getMessage());
-            h.fields.forEach((name, value) -> out.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=").append(value));
+            out.append(' ')
+                    .append(level(record))
+                    .append(' ')
+                    .append(h.event)
+                    .append(": ")
+                    .append(
+                            h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                                    ? formatMessage(record)
+                                    : record.getMessage());
+            h.fields.forEach(
+                    (name, value) -> out.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=")
+                            .append(value));
             if (record.getThrown() != null) {
                 out.append(" (").append(record.getThrown()).append(')');
             }
@@ -94,12 +110,16 @@
             StringWriter out = new StringWriter(240);
             try (JsonGenerator json = factory.createGenerator(out)) {
                 json.writeStartObject();
-                json.writeStringField("time", Instant.ofEpochMilli(record.getMillis()).toString());
+                json.writeStringField(
+                        "time", Instant.ofEpochMilli(record.getMillis()).toString());
                 json.writeStringField("level", level(record));
                 json.writeStringField("event", h.event);
                 json.writeStringField("relay", relay);
-                json.writeStringField("message", h.fields.isEmpty() && h.event.equals(record.getLoggerName()) ? formatMessage(record)
-                        : record.getMessage());
+                json.writeStringField(
+                        "message",
+                        h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                                ? formatMessage(record)
+                                : record.getMessage());
                 for (Map.Entry<String, String> field : h.fields.entrySet()) {
                     json.writeStringField(field.getKey(), field.getValue());
                 }
--- a/relay/src/main/java/ambertrestle/relay/life/OperatorFile.java
+++ b/relay/src/main/java/ambertrestle/relay/life/OperatorFile.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 
 /**
- * What operators switch on beside the platform's configuration, in a TOML file of their own; the one place where it is read,
- * checked and given defaults. Nothing in it is needed to serve. `durable` is null where nothing is kept.
+ * What operators switch on beside the platform's configuration, in a TOML file of their own; the one place where it is
+ * read, checked and given defaults. Nothing in it is needed to serve. `durable` is null where nothing is kept.
  */
 public record OperatorFile(Log.Form logForm, DurableSheet durable) {
     private static final long LEAST_INTERVAL = 100_000_000L, MOST_INTERVAL = 3_600_000_000_000L;
--- a/relay/src/main/java/ambertrestle/relay/life/RunSheet.java
+++ b/relay/src/main/java/ambertrestle/relay/life/RunSheet.java
@@ -20,8 +20,8 @@
 import java.util.stream.Collectors;
 
 /** The one place where configuration is read, checked and given defaults. */
-public record RunSheet(String name, Address listen, int connectMillis, Names names, RosterMessage known,
-        RunValues values) {
+public record RunSheet(
+        String name, Address listen, int connectMillis, Names names, RosterMessage known, RunValues values) {
     /** Descriptors kept for the JVM's own files, the selector, the roster watch and connections being refused. */
     private static final int OWN_SOCKETS = 64;
 
@@ -83,7 +83,8 @@
             List<Sheet.Fault> faults = new ArrayList<>();
             for (BadSheet fault : e.all) {
                 String key = fault.key;
-                faults.add(new Sheet.Fault(path, lines.of(key), key, fault.getMessage().substring(key.length() + 1)));
+                faults.add(new Sheet.Fault(
+                        path, lines.of(key), key, fault.getMessage().substring(key.length() + 1)));
             }
             return faults;
         } catch (IllegalArgumentException e) {
@@ -102,8 +103,9 @@
         try {
             json = new JsonObject(Files.readString(Path.of(path)));
         } catch (IOException | DecodeException e) {
-            throw new BadSheet("BALANCER_CONFIG", "names " + path + ", which "
-                    + (e instanceof IOException ? "cannot be read" : "is not JSON"));
+            throw new BadSheet(
+                    "BALANCER_CONFIG",
+                    "names " + path + ", which " + (e instanceof IOException ? "cannot be read" : "is not JSON"));
         }
         return read(environment, json);
     }
@@ -111,7 +113,8 @@
     /** The same from what was read already. */
     public static RunSheet read(Map<String, String> environment, JsonObject json) throws BadSheet {
         Faults all = new Faults();
-        JsonObject settings = all.or(new JsonObject(),
+        JsonObject settings = all.or(
+                new JsonObject(),
                 () -> need(part(json, "settings", JsonObject.class, null, "an object"), "settings", "an object"));
         Map<String, String> ticket = new HashMap<>();
         flatten(settings, "", ticket);
@@ -125,10 +128,16 @@
         }
         long goal = Long.MAX_VALUE / 4;
         for (String part : ticket.getOrDefault("familyInfo.messageAim", "").split(",")) {
-            goal = Math.min(goal, all.or(goal, () -> part.isEmpty() ? Long.MAX_VALUE / 4
-                    : (long) number(part, "settings: familyInfo.messageAim")));
+            goal = Math.min(
+                    goal,
+                    all.or(
+                            goal,
+                            () -> part.isEmpty()
+                                    ? Long.MAX_VALUE / 4
+                                    : (long) number(part, "settings: familyInfo.messageAim")));
         }
-        JsonObject limits = all.or(new JsonObject(), () -> part(json, "limits", JsonObject.class, new JsonObject(), "an object"));
+        JsonObject limits =
+                all.or(new JsonObject(), () -> part(json, "limits", JsonObject.class, new JsonObject(), "an object"));
         String seed = all.or("0", () -> {
             String said = need(part(json, "seed", String.class, null, "64 bits of hex"), "seed", "64 bits of hex");
             if (!said.matches("[0-9a-fA-F]{1,16}")) {
@@ -138,8 +147,10 @@
         });
         RosterMessage known = all.or(null, () -> {
             try {
-                return RosterMessage.decode(need(part(json, "known", JsonObject.class, null, "a list of backends"),
-                        "known", "a list of backends"));
+                return RosterMessage.decode(need(
+                        part(json, "known", JsonObject.class, null, "a list of backends"),
+                        "known",
+                        "a list of backends"));
             } catch (IllegalArgumentException e) {
                 throw new BadSheet("known", "is malformed: " + e.getMessage());
             }
@@ -147,7 +158,8 @@
         int sockets = all.or(2 * OWN_SOCKETS, () -> {
             int said = part(limits, "limits.sockets", Integer.class, 1024, "a whole number");
             if (said < 2 * OWN_SOCKETS) {
-                throw new BadSheet("limits.sockets", "is too small: expected " + 2 * OWN_SOCKETS + " at least, got " + said);
+                throw new BadSheet(
+                        "limits.sockets", "is too small: expected " + 2 * OWN_SOCKETS + " at least, got " + said);
             }
             return said;
         });
@@ -158,10 +170,21 @@
         // Danger: the environment of a running relay never changes; a new file must win over it here.
         Address discovery = all.or(null, () -> address(json, "discovery", environment, "BALANCER_DISCOVERY", true));
         Address listen = all.or(null, () -> address(json, "listen", environment, "BALANCER_LISTEN", false));
-        String name = all.or("relay", () -> environment.getOrDefault("BALANCER_NAME", part(json, "name", String.class, "relay", "a name")));
+        String name = all.or(
+                "relay",
+                () -> environment.getOrDefault("BALANCER_NAME", part(json, "name", String.class, "relay", "a name")));
         all.end();
-        RunValues values = new RunValues(ticket, Long.parseUnsignedLong(seed, 16), cutOffs, zones, types, goal, sockets - OWN_SOCKETS,
-                connectTime, "pass".equals(ticket.get("familyInfo.mode")), discovery);
+        RunValues values = new RunValues(
+                ticket,
+                Long.parseUnsignedLong(seed, 16),
+                cutOffs,
+                zones,
+                types,
+                goal,
+                sockets - OWN_SOCKETS,
+                connectTime,
+                "pass".equals(ticket.get("familyInfo.mode")),
+                discovery);
         return new RunSheet(name, listen, (int) (connectTime / 1_000_000), new Names(useCases, tenants), known, values);
     }
 
@@ -180,8 +203,9 @@
         return keys;
     }
 
-    private static Address address(JsonObject json, String key, Map<String, String> environment, String variable,
-            boolean fileWins) throws BadSheet {
+    private static Address address(
+            JsonObject json, String key, Map<String, String> environment, String variable, boolean fileWins)
+            throws BadSheet {
         String here = part(json, key, String.class, null, "an address and port");
         boolean fromFile = here != null && (fileWins || !environment.containsKey(variable));
         String faulty = fromFile ? key : variable;
@@ -225,7 +249,8 @@
     /** A list of names, or of objects that have one; the settings' places count from here. */
     private static List<String> names(JsonObject settings, String key) throws BadSheet {
         return part(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
-                .map(item -> String.valueOf(item instanceof JsonObject named ? named.getValue("name") : item)).toList();
+                .map(item -> String.valueOf(item instanceof JsonObject named ? named.getValue("name") : item))
+                .toList();
     }
 
     /** Nested settings as the simulator writes them: paths, plain lists joined, lists of objects counted. */
--- a/relay/src/main/java/ambertrestle/relay/life/Safe.java
+++ b/relay/src/main/java/ambertrestle/relay/life/Safe.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times the keeping: gathers what changed on the event loop, a part a turn, and hands it to one thread beside the loop, one
- * write at a time. While a write lasts nothing is gathered, so a stalled disk costs neither time nor memory here.
+ * Times the keeping: gathers what changed on the event loop, a part a turn, and hands it to one thread beside the loop,
+ * one write at a time. While a write lasts nothing is gathered, so a stalled disk costs neither time nor memory here.
  */
 final class Safe {
     /** What is gathered may go on at the end of a relay for so long. */
@@ -30,11 +30,13 @@
     private boolean gathering;
     /** Counts the parts that came. */
     private long taken;
+
     private boolean writing;
     private long writingSince;
     private boolean toldLate;
     /** At the end: whether one more is owed, and what then follows; null while it serves. */
     private boolean last;
+
     private Runnable whenOver;
 
     /** `ask`: makes the reducer give a part, which comes back by {@link #take}. */
@@ -58,7 +60,11 @@
     private void keep() {
         if (writing && System.nanoTime() - writingSince > interval && !toldLate) {
             toldLate = true;
-            Log.tell(Level.WARNING, "state-late", "a write of what is kept takes longer than durable.interval", Map.of());
+            Log.tell(
+                    Level.WARNING,
+                    "state-late",
+                    "a write of what is kept takes longer than durable.interval",
+                    Map.of());
         }
         if (!writing && !gathering) {
             gathering = true;
@@ -96,21 +102,24 @@
         long now = writingSince + wallLess;
         String heardFrom = watch.heardFrom() == null ? null : watch.heardFrom().toString();
         long heardAt = watch.heardAt() + wallLess;
-        beside.executeBlocking(() -> keeper.write(mine, heardFrom, heardAt, now)).onComplete(result -> {
-            writing = false;
-            toldLate = false;
-            if (result.failed()) {
-                Log.failed("state-not-kept", "keeping failed", result.cause());
-            } else if (result.result() != null) {
-                Serve.tell(result.result());
-            }
-            if (whenOver != null) {
-                lastOrOver();
-            }
-        });
+        beside.executeBlocking(() -> keeper.write(mine, heardFrom, heardAt, now))
+                .onComplete(result -> {
+                    writing = false;
+                    toldLate = false;
+                    if (result.failed()) {
+                        Log.failed("state-not-kept", "keeping failed", result.cause());
+                    } else if (result.result() != null) {
+                        Serve.tell(result.result());
+                    }
+                    if (whenOver != null) {
+                        lastOrOver();
+                    }
+                });
     }
 
-    /** Keeps once more, then runs that, after a second at the latest: a relay told to stop must not hang on its disk. */
+    /**
+     * Keeps once more, then runs that, after a second at the latest: a relay told to stop must not hang on its disk.
+     */
     void end(Runnable then) {
         boolean[] ran = new boolean[1];
         Runnable once = () -> {
--- a/relay/src/main/java/ambertrestle/relay/life/Serve.java
+++ b/relay/src/main/java/ambertrestle/relay/life/Serve.java
@@ -4,9 +4,9 @@
 import ambertrestle.relay.durable.DurableSheet;
 import ambertrestle.relay.durable.InUse;
 import ambertrestle.relay.durable.Keeper;
-import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.durable.Picture;
 import ambertrestle.relay.durable.Recovery;
+import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.life.RunSheet.BadSheet;
 import ambertrestle.relay.memory.Effect;
 import ambertrestle.relay.memory.Event;
@@ -89,9 +89,16 @@
                 return;
             }
         }
-        Vertx vertx = Vertx.builder().withTransport(new OneLoop()).with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false))).build();
+        Vertx vertx = Vertx.builder()
+                .withTransport(new OneLoop())
+                .with(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setFileSystemOptions(new FileSystemOptions()
+                                .setFileCachingEnabled(false)
+                                .setClassPathResolvingEnabled(false)))
+                .build();
         Serve serve;
         try {
             serve = new Serve(vertx, sheet, durable, keeper, said);
@@ -112,8 +119,8 @@
 
     private void start(RunSheet sheet) {
         sockets.listen(sheet.listen().host(), sheet.listen().port())
-                .onFailure(e -> fail("BALANCER_LISTEN " + sheet.listen().host() + ":" + sheet.listen().port()
-                        + " cannot be listened on: " + e.getMessage()))
+                .onFailure(e -> fail("BALANCER_LISTEN " + sheet.listen().host() + ":"
+                        + sheet.listen().port() + " cannot be listened on: " + e.getMessage()))
                 .onSuccess(v -> {
                     Log.tell(Level.INFO, "serves", sheet.name() + " serves");
                     happened(new Event.Woke());
@@ -133,8 +140,11 @@
             return;
         }
         List<String> keys = first.onlyAtStart(later);
-        Log.tell(Level.INFO, "reread", "the configuration was read again"
-                + (keys.isEmpty() ? "" : "; taken over only at the next start: " + String.join(", ", keys)));
+        Log.tell(
+                Level.INFO,
+                "reread",
+                "the configuration was read again"
+                        + (keys.isEmpty() ? "" : "; taken over only at the next start: " + String.join(", ", keys)));
         happened(new Event.Reread(later.values().rosterAt(), later.values().mostSockets()));
     }
 
@@ -180,8 +190,8 @@
             }
         } else if (effect instanceof Effect.WakeAt wake) {
             vertx.cancelTimer(timer);
-            timer = vertx.setTimer(Math.max(1, (wake.time() - now() + 999_999) / 1_000_000),
-                    t -> happened(new Event.Woke()));
+            timer = vertx.setTimer(
+                    Math.max(1, (wake.time() - now() + 999_999) / 1_000_000), t -> happened(new Event.Woke()));
         } else if (effect instanceof Effect.Note note) {
             Log.tell(Level.INFO, note.event(), note.line(), note.fields());
         } else if (effect instanceof Effect.Keep keep) {
--- a/relay/src/main/java/ambertrestle/relay/memory/Connection.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Connection.java
@@ -23,13 +23,19 @@
     boolean asked;
     Association association;
     FromClient.Opening opening;
-    /** The dispatch that is out: its socket, 0 while none; `handed`: its line is with the socket; `written`: it is out. */
+    /**
+     * The dispatch that is out: its socket, 0 while none; `handed`: its line is with the socket; `written`: it is out.
+     */
     long backendSocket;
+
     int dispatch;
     long backend;
     long sentAt;
-    /** How long its backend has for an answer, from when the line was handed to its socket; `over`: that was up once. */
+    /**
+     * How long its backend has for an answer, from when the line was handed to its socket; `over`: that was up once.
+     */
     long patience;
+
     boolean over;
     boolean handed;
     boolean written;
@@ -37,11 +43,13 @@
     boolean standing;
     /** The backend said that the connection is served to its end, or sent the client away. */
     boolean saidBye;
+
     boolean saidMove;
     /** Lines that came before the connection was up. */
     final ArrayDeque<byte[]> early = new ArrayDeque<>();
     /** When the client's lines that brought nothing back yet were passed on, oldest first. */
     final ArrayDeque<Long> unanswered = new ArrayDeque<>();
+
     Dues.Due due;
 
     Connection(long client) {
--- a/relay/src/main/java/ambertrestle/relay/memory/Delays.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Delays.java
@@ -13,6 +13,7 @@
         int lines;
         /** The longest that a line waits, and how many connections have one that waits. */
         long longest;
+
         int waiting;
         boolean told;
     }
@@ -34,7 +35,8 @@
     /** Twice a second: the mean of the lines that came back, and of those that wait longer than is worth telling. */
     void tell(Iterable<Connection> connections, Decisions balancer, long now) {
         for (Connection c : connections) {
-            if (c.stage == Connection.Stage.OPEN && !c.unanswered.isEmpty()
+            if (c.stage == Connection.Stage.OPEN
+                    && !c.unanswered.isEmpty()
                     && now - c.unanswered.peek() > worthTelling) {
                 long waits = now - c.unanswered.peek();
                 answered(c.backend, waits);
@@ -45,7 +47,8 @@
         }
         backends.forEach((backend, seen) -> {
             if (seen.lines > 0) {
-                // Danger: where nothing at all comes back, the mean of short waits would hide for seconds that it hangs.
+                // Danger: where nothing at all comes back, the mean of short waits would hide for seconds that it
+                // hangs.
                 boolean silent = seen.waiting == seen.lines && seen.waiting > 1;
                 double mean = silent ? seen.longest : seen.sum / seen.lines;
                 if (mean > worthTelling || seen.told) {
--- a/relay/src/main/java/ambertrestle/relay/memory/Dues.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Dues.java
@@ -4,10 +4,10 @@
 
 /** Owns all times at which something is due: one for a connection at the most. */
 final class Dues {
-    record Due(long time, long order, Connection connection) { }
+    record Due(long time, long order, Connection connection) {}
 
-    private final TreeSet<Due> dues = new TreeSet<>((x, y) -> x.time != y.time ? Long.compare(x.time, y.time)
-            : Long.compare(x.order, y.order));
+    private final TreeSet<Due> dues =
+            new TreeSet<>((x, y) -> x.time != y.time ? Long.compare(x.time, y.time) : Long.compare(x.order, y.order));
     private long orders;
 
     /** Instead of what was due for it before. */
--- a/relay/src/main/java/ambertrestle/relay/memory/Reducer.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Reducer.java
@@ -6,10 +6,10 @@
 import ambertrestle.decide.Chores;
 import ambertrestle.decide.Decisions;
 import ambertrestle.decide.Outcome;
-import ambertrestle.relay.memory.Connection.Stage;
-import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.durable.Recovery.Beginning;
+import ambertrestle.relay.durable.Said;
 import ambertrestle.relay.durable.Start;
+import ambertrestle.relay.memory.Connection.Stage;
 import ambertrestle.relay.wire.Address;
 import ambertrestle.relay.wire.Ask;
 import ambertrestle.relay.wire.FromBackend;
@@ -25,8 +25,8 @@
 import java.util.TreeMap;
 
 /**
- * The one place where a relay's state changes: an event and the time go in, effects come out. It asks the
- * module as the simulator's host does and decides no placement itself. No socket, no clock, no thread.
+ * The one place where a relay's state changes: an event and the time go in, effects come out. It asks the module as the
+ * simulator's host does and decides no placement itself. No socket, no clock, no thread.
  */
 public final class Reducer {
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
@@ -42,6 +42,7 @@
     private static final long LAST_CALL = SECOND / 2;
     /** The platform kills no sooner than this after it told a relay to stop, less the time to hand all over. */
     private static final long HOLD = 3_200 * MS;
+
     private static final int MOST_EARLY = 16;
     private static final long HELD_UP = SECOND / 5;
     /** A client's line that brought nothing back for so long has met a connection that is dead. */
@@ -50,6 +51,7 @@
     private static final int SILENT_PART = 6;
     /** Danger: taking all that is learned at once would hold up the loop; so much takes well under a millisecond. */
     private static final int PART_KEPT = 1024;
+
     private static final byte[] PONG = line("PONG"), ERR = line("ERR"), BUSY = line("BUSY"), MOVE = line("MOVE");
 
     private final Decisions balancer;
@@ -61,22 +63,26 @@
     private final Map<Association, Connection> byAssociation = new java.util.IdentityHashMap<>();
     /** Those that have opened nothing yet, oldest first, and whose id is held here. */
     private final TreeMap<Long, Connection> silent = new TreeMap<>();
+
     private final Map<Long, Connection> byId = new HashMap<>();
     private final TurnedAway turnedAway = new TurnedAway();
     private List<Effect> effects = new ArrayList<>();
     private long dialled;
     /** Sockets that are held: accepted, dialled or up. */
     private int sockets;
+
     private long tellAt;
     private long armed = Long.MAX_VALUE;
     /** Where the roster service is, and whether it is watched: a watch that broke is asked for again in time. */
     private Address rosterAt;
+
     private boolean watching;
     private boolean watched;
     private int mostSockets;
     private final Returns returns = new Returns();
     /** How far its start has come; null where nothing is kept. */
     private final Beginning beginning;
+
     private final Start start;
     private long toldToStopAt, stopAt = Long.MAX_VALUE;
     private boolean stopped;
@@ -131,7 +137,8 @@
         if (heard instanceof Heard.Accepted e) {
             accepted(e.socket(), now);
         } else if (heard instanceof Heard.Roster e) {
-            e.faulty().forEach((name, why) -> note("roster-entry-faulty", "an entry of the roster is left out: " + why));
+            e.faulty()
+                    .forEach((name, why) -> note("roster-entry-faulty", "an entry of the roster is left out: " + why));
             roster(roster.withKnown(e.message(), e.faulty().keySet()), now);
         } else if (heard instanceof Heard.RosterBroke e) {
             note("roster-watch-broke", "roster watch broke: " + e.why());
@@ -154,7 +161,8 @@
             Connection c = current(e.socket());
             if (c != null) {
                 c.handed = true;
-                // Danger: with part of a core and a burst to serve, this relay's own delay would pass for its backend's.
+                // Danger: with part of a core and a burst to serve, this relay's own delay would pass for its
+                // backend's.
                 await(c, c.patience, now);
             }
         } else if (heard instanceof Heard.Written e) {
@@ -232,7 +240,7 @@
                 }
             }
             case OPEN -> passOn(c, line.raw(), now);
-            case OVER -> { }
+            case OVER -> {}
         }
     }
 
@@ -249,9 +257,18 @@
             turnAway(c, Misuse.ID_TAKEN, ERR, now);
             return;
         }
-        long wait = opening.millis() >= 0 ? opening.millis() * MS : values.cutOffs().get(opening.useCase());
-        Association a = new Association(opening.id(), opening.useCase(), opening.tenant(), opening.flow(),
-                opening.group(), now + wait - WAY_BACK, opening.guess() * 1000, opening.midFlow(), opening.returning());
+        long wait =
+                opening.millis() >= 0 ? opening.millis() * MS : values.cutOffs().get(opening.useCase());
+        Association a = new Association(
+                opening.id(),
+                opening.useCase(),
+                opening.tenant(),
+                opening.flow(),
+                opening.group(),
+                now + wait - WAY_BACK,
+                opening.guess() * 1000,
+                opening.midFlow(),
+                opening.returning());
         if (stopAt != Long.MAX_VALUE) {
             stopAt = Math.max(stopAt, now + LAST_CALL);
         }
@@ -320,7 +337,7 @@
             case WAIT -> dues.set(c, answer.time);
             case SHED -> answer(c, answer.time > 0 ? line("BUSY " + answer.time / MS) : BUSY, now);
             case FORFEIT -> answer(c, ERR, now);
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 
@@ -376,9 +393,14 @@
             if (line instanceof FromBackend.Up) {
                 up(c, line.raw(), now);
             } else {
-                settled(c, line instanceof FromBackend.Busy ? Outcome.FULL
-                        : line instanceof FromBackend.Move ? Outcome.CANCELLED
-                        : line instanceof FromBackend.Bye ? Outcome.DONE : Outcome.ERROR, now);
+                settled(
+                        c,
+                        line instanceof FromBackend.Busy
+                                ? Outcome.FULL
+                                : line instanceof FromBackend.Move
+                                        ? Outcome.CANCELLED
+                                        : line instanceof FromBackend.Bye ? Outcome.DONE : Outcome.ERROR,
+                        now);
             }
         } else if (c.stage == Stage.OPEN) {
             if (line instanceof FromBackend.Load load) {
@@ -580,7 +602,9 @@
             stop(now);
         }
         long converges = start == null ? Long.MAX_VALUE : start.wakeAt();
-        long next = Math.min(converges, Math.min(Math.min(chores.wakeAt, dues.earliest()), Math.min(tellAt, stopped ? tellAt : stopAt)));
+        long next = Math.min(
+                converges,
+                Math.min(Math.min(chores.wakeAt, dues.earliest()), Math.min(tellAt, stopped ? tellAt : stopAt)));
         if (next != armed) {
             armed = next;
             effects.add(new Effect.WakeAt(next));
@@ -667,7 +691,8 @@
             stopAt = toldToStopAt + HOLD;
             return;
         }
-        List<Connection> open = clients().stream().filter(c -> c.stage == Stage.OPEN).toList();
+        List<Connection> open =
+                clients().stream().filter(c -> c.stage == Stage.OPEN).toList();
         open.stream().limit(Math.max(4, open.size() / 4)).forEach(c -> move(c, now));
         if (!byAssociation.isEmpty()) {
             stopAt = now + LAST_CALL / 8;
--- a/relay/src/main/java/ambertrestle/relay/memory/Returns.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Returns.java
@@ -10,6 +10,7 @@
 
     /** Clients whose connections ended here by move or break, and when. */
     private final LinkedHashMap<Long, Long> fromHere = new LinkedHashMap<>();
+
     private final ArrayDeque<Long> fromElsewhere = new ArrayDeque<>();
 
     void endedHere(long client, long now) {
--- a/relay/src/main/java/ambertrestle/relay/memory/Roster.java
+++ b/relay/src/main/java/ambertrestle/relay/memory/Roster.java
@@ -14,6 +14,7 @@
 public final class Roster {
     /** Each backend as it was last listed in use; the address of one that is gone is still wanted. */
     private final Map<Long, RosterMessage.Line> last = new HashMap<>();
+
     private final List<String> zones;
     private final List<String> types;
     long index = -1;
@@ -36,8 +37,14 @@
             if (line.stage() != Stage.GONE) {
                 last.put(id, line);
             }
-            listed.add(new Listed(id, line.stage(), line.sinceMillis() * 1_000_000, line.cell(), line.weight(),
-                    Math.max(0, zones.indexOf(line.zone())), Math.max(0, types.indexOf(line.type()))));
+            listed.add(new Listed(
+                    id,
+                    line.stage(),
+                    line.sinceMillis() * 1_000_000,
+                    line.cell(),
+                    line.weight(),
+                    Math.max(0, zones.indexOf(line.zone())),
+                    Math.max(0, types.indexOf(line.type()))));
         }
         return listed;
     }
--- a/relay/src/main/java/ambertrestle/relay/sheet/Sheet.java
+++ b/relay/src/main/java/ambertrestle/relay/sheet/Sheet.java
@@ -17,9 +17,10 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads one TOML file and keeps every fault found in it, each with file, key and line. What is asked for counts as known;
- * {@link Part#end} faults the rest, with the nearest known name. Values that are faulty give their default, so that
- * one reading finds all faults; a caller must look at {@link #faults} before it uses what was read. Times in nanoseconds.
+ * Reads one TOML file and keeps every fault found in it, each with file, key and line. What is asked for counts as
+ * known; {@link Part#end} faults the rest, with the nearest known name. Values that are faulty give their default, so
+ * that one reading finds all faults; a caller must look at {@link #faults} before it uses what was read. Times in
+ * nanoseconds.
  */
 public final class Sheet {
     private static final long NO_LEAST = Long.MIN_VALUE;
@@ -61,8 +62,10 @@
         public String word(String key, String otherwise, Collection<String> words) {
             String said = text(key, otherwise);
             if (said != null && !words.contains(said)) {
-                fault(key, "is not known: expected one of " + String.join(", ", words) + nearest(said, words)
-                        + ", got " + said);
+                fault(
+                        key,
+                        "is not known: expected one of " + String.join(", ", words) + nearest(said, words) + ", got "
+                                + said);
                 return otherwise;
             }
             return said;
@@ -81,7 +84,8 @@
             if (value instanceof Long number && number >= least && number <= most) {
                 return number;
             }
-            return wrong(key, value, otherwise == null ? least : otherwise, "a whole number from " + least + " to " + most);
+            return wrong(
+                    key, value, otherwise == null ? least : otherwise, "a whole number from " + least + " to " + most);
         }
 
         public double number(String key, Double otherwise, double least, double most) {
@@ -92,8 +96,11 @@
             if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
                 return number.doubleValue();
             }
-            return wrong(key, value, otherwise == null ? least : otherwise, "a number from " + plain(least) + " to "
-                    + plain(most));
+            return wrong(
+                    key,
+                    value,
+                    otherwise == null ? least : otherwise,
+                    "a number from " + plain(least) + " to " + plain(most));
         }
 
         /** A time as a text such as "250ms", "3s" or "2m"; in nanoseconds. */
@@ -158,8 +165,13 @@
         }
 
         private int line() {
-            return table.keySet().stream().sorted().map(k -> table.inputPositionOf(List.of(k))).filter(p -> p != null)
-                    .mapToInt(TomlPosition::line).min().orElse(1);
+            return table.keySet().stream()
+                    .sorted()
+                    .map(k -> table.inputPositionOf(List.of(k)))
+                    .filter(p -> p != null)
+                    .mapToInt(TomlPosition::line)
+                    .min()
+                    .orElse(1);
         }
 
         private String path(String key) {
@@ -177,8 +189,12 @@
 
         private <T> T wrong(String key, Object value, T otherwise, String expected) {
             if (value != null) {
-                fault(key, "is malformed: expected " + expected + ", got "
-                        + (value instanceof TomlTable ? "a table" : value instanceof TomlArray ? "a list" : value));
+                fault(
+                        key,
+                        "is malformed: expected " + expected + ", got "
+                                + (value instanceof TomlTable
+                                        ? "a table"
+                                        : value instanceof TomlArray ? "a list" : value));
             }
             return otherwise;
         }
@@ -203,8 +219,16 @@
     public static Sheet parse(String file, String text) {
         TomlParseResult result = Toml.parse(text);
         Sheet sheet = new Sheet(file, result);
-        result.errors().forEach(e -> sheet.faults.add(new Fault(file, e.position().line(), "",
-                "is no TOML: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""))));
+        result.errors()
+                .forEach(e -> sheet.faults.add(new Fault(
+                        file,
+                        e.position().line(),
+                        "",
+                        "is no TOML: "
+                                + String.valueOf(e.getMessage())
+                                        .lines()
+                                        .findFirst()
+                                        .orElse(""))));
         return sheet;
     }
 
@@ -226,18 +250,21 @@
         if (!m.matches()) {
             return NO_LEAST;
         }
-        double unit = switch (m.group(2)) {
-            case "us" -> 1e3;
-            case "ms" -> 1e6;
-            case "s" -> 1e9;
-            case "m" -> 60e9;
-            default -> 3600e9;
-        };
+        double unit =
+                switch (m.group(2)) {
+                    case "us" -> 1e3;
+                    case "ms" -> 1e6;
+                    case "s" -> 1e9;
+                    case "m" -> 60e9;
+                    default -> 3600e9;
+                };
         return Math.round(Double.parseDouble(m.group(1)) * unit);
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value) : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 
     private static String nearest(String said, Collection<String> known) {
--- a/relay/src/main/java/ambertrestle/relay/wire/FromBackend.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/FromBackend.java
@@ -4,20 +4,20 @@
 public sealed interface FromBackend {
     byte[] raw();
 
-    record Up(byte[] raw) implements FromBackend { }
+    record Up(byte[] raw) implements FromBackend {}
 
-    record Busy(byte[] raw) implements FromBackend { }
+    record Busy(byte[] raw) implements FromBackend {}
 
-    record Bye(byte[] raw) implements FromBackend { }
+    record Bye(byte[] raw) implements FromBackend {}
 
-    record Move(byte[] raw) implements FromBackend { }
+    record Move(byte[] raw) implements FromBackend {}
 
-    record Err(byte[] raw) implements FromBackend { }
+    record Err(byte[] raw) implements FromBackend {}
 
     /** The load of the connection in the settings' unit: microseconds of work a second. */
-    record Load(byte[] raw, double micros) implements FromBackend { }
+    record Load(byte[] raw, double micros) implements FromBackend {}
 
-    record Text(byte[] raw) implements FromBackend { }
+    record Text(byte[] raw) implements FromBackend {}
 
     static FromBackend decode(byte[] raw) {
         String line = Lines.text(raw);
--- a/relay/src/main/java/ambertrestle/relay/wire/FromClient.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/FromClient.java
@@ -10,15 +10,29 @@
     byte[] raw();
 
     /** The first line of a connection; `millis` is -1 where not said. */
-    record Opening(byte[] raw, long id, long flow, int useCase, int tenant, long millis, long group, double guess,
-            String at, boolean midFlow, boolean returning, Map<String, String> said) implements FromClient {
+    record Opening(
+            byte[] raw,
+            long id,
+            long flow,
+            int useCase,
+            int tenant,
+            long millis,
+            long group,
+            double guess,
+            String at,
+            boolean midFlow,
+            boolean returning,
+            Map<String, String> said)
+            implements FromClient {
         /** The line that goes on to a backend: as it came, but for how long this relay waits. */
         public byte[] onwards(long millis) {
             String line = Lines.text(raw);
             StringBuilder out = new StringBuilder(line.substring(0, line.lastIndexOf(' ')));
             char between = ' ';
             for (Map.Entry<String, String> pair : said.entrySet()) {
-                out.append(between).append(pair.getKey()).append('=')
+                out.append(between)
+                        .append(pair.getKey())
+                        .append('=')
                         .append(pair.getKey().equals("d") ? Long.toString(millis) : pair.getValue());
                 between = ',';
             }
@@ -27,15 +41,16 @@
     }
 
     /** Asks whether this relay serves. */
-    record Ping(byte[] raw) implements FromClient { }
+    record Ping(byte[] raw) implements FromClient {}
 
     /** Any other line: fine once a connection is up, which it passes unread. */
-    record Text(byte[] raw) implements FromClient { }
+    record Text(byte[] raw) implements FromClient {}
 
     /** An opening that is not one. */
-    record Malformed(byte[] raw, Misuse why) implements FromClient { }
+    record Malformed(byte[] raw, Misuse why) implements FromClient {}
 
-    Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}"), MILLIS = Pattern.compile("\\d{1,9}"),
+    Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}"),
+            MILLIS = Pattern.compile("\\d{1,9}"),
             GUESS = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
 
     static FromClient decode(byte[] raw, Names names) {
@@ -71,9 +86,18 @@
         if (useCase < 0 || tenant < 0) {
             return new Malformed(raw, Misuse.UNKNOWN);
         }
-        return new Opening(raw, Long.parseUnsignedLong(words[1], 16), Long.parseUnsignedLong(words[2], 16), useCase,
-                tenant, said.containsKey("d") ? Long.parseLong(millis) : -1, Long.parseUnsignedLong(group, 16),
-                Double.parseDouble(guess), said.get("at"), "1".equals(said.get("mid")), "1".equals(said.get("again")),
+        return new Opening(
+                raw,
+                Long.parseUnsignedLong(words[1], 16),
+                Long.parseUnsignedLong(words[2], 16),
+                useCase,
+                tenant,
+                said.containsKey("d") ? Long.parseLong(millis) : -1,
+                Long.parseUnsignedLong(group, 16),
+                Double.parseDouble(guess),
+                said.get("at"),
+                "1".equals(said.get("mid")),
+                "1".equals(said.get("again")),
                 said);
     }
 
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
@@ -11,8 +11,15 @@
 
 /** One message of the roster service: all backends, or those that changed. */
 public record RosterMessage(long index, boolean whole, List<Line> lines) {
-    public record Line(String name, String address, Stage stage, String zone, String type, int cell, double weight,
-            long sinceMillis) { }
+    public record Line(
+            String name,
+            String address,
+            Stage stage,
+            String zone,
+            String type,
+            int cell,
+            double weight,
+            long sinceMillis) {}
 
     /** Any name is an id: FNV-1a over its bytes, 64 bits, so that relays agree without talking. */
     public static long id(String name) {
@@ -53,7 +60,9 @@
                     name = need(e.getString("name"), "name");
                     lines.add(line(name, e));
                 } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
-                    faulty.accept(name, e instanceof IllegalArgumentException ? e.getMessage() : "a value has the wrong form");
+                    faulty.accept(
+                            name,
+                            e instanceof IllegalArgumentException ? e.getMessage() : "a value has the wrong form");
                 }
             }
             return new RosterMessage(need(json.getLong("index"), "index"), json.getBoolean("snapshot", false), lines);
@@ -64,18 +73,26 @@
 
     private static Line line(String name, JsonObject e) {
         String status = need(e.getString("status"), "status");
-        Stage stage = switch (status) {
-            case "in_service" -> Stage.READY;
-            case "terminating" -> Stage.DRAINING;
-            case "terminated" -> Stage.GONE;
-            default -> throw new IllegalArgumentException("status of " + name + " is not known");
-        };
+        Stage stage =
+                switch (status) {
+                    case "in_service" -> Stage.READY;
+                    case "terminating" -> Stage.DRAINING;
+                    case "terminated" -> Stage.GONE;
+                    default -> throw new IllegalArgumentException("status of " + name + " is not known");
+                };
         String address = e.getString("address", "");
         if (address.isEmpty() && stage != Stage.GONE) {
             throw new IllegalArgumentException("address of " + name + " is missing");
         }
-        return new Line(name, address, stage, e.getString("zone", ""), e.getString("type", ""), e.getInteger("group", 0),
-                e.getDouble("weight", 1.0), e.getLong("since_ms", 0L));
+        return new Line(
+                name,
+                address,
+                stage,
+                e.getString("zone", ""),
+                e.getString("type", ""),
+                e.getInteger("group", 0),
+                e.getDouble("weight", 1.0),
+                e.getLong("since_ms", 0L));
     }
 
     private static <T> T need(T value, String key) {
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterStream.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterStream.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads what a watch brings: JSON values one after the other, whatever white space stands in or between them and wherever
- * the pieces are cut. No socket, no timer. What is no JSON, or no message, is told once and ends it; one faulty entry does not.
+ * Reads what a watch brings: JSON values one after the other, whatever white space stands in or between them and
+ * wherever the pieces are cut. No socket, no timer. What is no JSON, or no message, is told once and ends it; one
+ * faulty entry does not.
  */
 final class RosterStream {
     /** Bounds what one message may hold in memory: some twenty thousand entries, indented. */
@@ -21,6 +22,7 @@
     private final Consumer<String> broke;
     /** What came since the last value was whole; 0 while none has begun. */
     private int unread;
+
     private boolean over;
 
     RosterStream(Consumer<Heard.Roster> tell, Consumer<String> broke) {
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterWatch.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterWatch.java
@@ -20,17 +20,21 @@
     private final Consumer<Heard> tell;
     /** Counts the watches; what an earlier one still brings is not heard. */
     private long watch;
+
     private long guard = -1;
     private HttpClientRequest asked;
     private Address askedAt;
     /** Who said last that the list stands, and when by the monotonic clock; null while nobody did. */
     private Address heardFrom;
+
     private long heardAt;
 
     public RosterWatch(Vertx vertx, Consumer<Heard> tell) {
         this.vertx = vertx;
         this.tell = tell;
-        client = vertx.createHttpClient(new HttpClientOptions().setKeepAlive(false).setConnectTimeout(2_000)
+        client = vertx.createHttpClient(new HttpClientOptions()
+                .setKeepAlive(false)
+                .setConnectTimeout(2_000)
                 .setMaxChunkSize(1 << 16));
     }
 
@@ -40,7 +44,11 @@
         long mine = watch;
         guard(mine, ANSWER_MILLIS, "no answer");
         String path = "/v1/endpoints?stream=1" + (index < 0 ? "" : "&index=" + index);
-        client.request(new RequestOptions().setMethod(HttpMethod.GET).setHost(at.host()).setPort(at.port()).setURI(path))
+        client.request(new RequestOptions()
+                        .setMethod(HttpMethod.GET)
+                        .setHost(at.host())
+                        .setPort(at.port())
+                        .setURI(path))
                 .onFailure(e -> broke(mine, "not connected"))
                 .onSuccess(request -> {
                     if (mine != watch) {
@@ -62,12 +70,15 @@
             return;
         }
         guard(mine, SILENT_MILLIS, "silent");
-        RosterStream stream = new RosterStream(heard -> {
-            if (mine == watch) {
-                tell.accept(heard);
-            }
-        }, why -> broke(mine, why));
-        response.handler(piece -> piece(mine, stream, piece)).exceptionHandler(e -> broke(mine, "cut off"))
+        RosterStream stream = new RosterStream(
+                heard -> {
+                    if (mine == watch) {
+                        tell.accept(heard);
+                    }
+                },
+                why -> broke(mine, why));
+        response.handler(piece -> piece(mine, stream, piece))
+                .exceptionHandler(e -> broke(mine, "cut off"))
                 .endHandler(v -> broke(mine, "ended"));
     }
 
--- a/relay/src/main/java/ambertrestle/relay/wire/Sockets.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/Sockets.java
@@ -21,15 +21,19 @@
     private final Map<Long, LineSocket> connected = new HashMap<>();
     /** Dialled and not yet up; true once nobody wants it any more. */
     private final Map<Long, Boolean> dialled = new HashMap<>();
+
     private long accepted;
 
     public Sockets(Vertx vertx, int connectMillis, Names names, Consumer<Heard> tell) {
         this.tell = tell;
         this.names = names;
-        server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setAcceptBacklog(1024)
+        server = vertx.createNetServer(new NetServerOptions()
+                .setTcpNoDelay(true)
+                .setAcceptBacklog(1024)
                 .setReuseAddress(true));
         // The reducer gives a dial up in time; this is for one that it forgot.
-        client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2 * connectMillis));
+        client =
+                vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2 * connectMillis));
     }
 
     /** Gives the port that it listens on. */
@@ -52,8 +56,8 @@
         SocketAddress there;
         try {
             int colon = address.lastIndexOf(':');
-            there = SocketAddress.inetSocketAddress(Integer.parseInt(address.substring(colon + 1)),
-                    address.substring(0, colon));
+            there = SocketAddress.inetSocketAddress(
+                    Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon));
         } catch (RuntimeException e) {
             // Danger: the roster may list what is no address; the dispatch must still end.
             tell.accept(new Heard.Gone(number, true));
--- a/relay/src/main/java/ambertrestle/simhost/Instance.java
+++ b/relay/src/main/java/ambertrestle/simhost/Instance.java
@@ -19,8 +19,8 @@
     boolean stopped;
     boolean crashed;
     private final Wire.Reply reply;
-    private final PriorityQueue<Waiting> waiting = new PriorityQueue<>((x, y) -> x.until != y.until
-            ? Long.compare(x.until, y.until) : Long.compare(x.order, y.order));
+    private final PriorityQueue<Waiting> waiting = new PriorityQueue<>(
+            (x, y) -> x.until != y.until ? Long.compare(x.until, y.until) : Long.compare(x.order, y.order));
     private long orders;
     /** The earliest timer that is set and has not fired, in nanoseconds. */
     private long armed = Long.MAX_VALUE;
@@ -71,7 +71,7 @@
                 reply.withId(Wire.SURRENDER, number, a.id);
                 held.remove(a.id);
             }
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 
@@ -87,7 +87,7 @@
         switch (chores.rosterCall) {
             case WATCH -> reply.withByte(Wire.TRACK, number, 1);
             case FETCH -> reply.plain(Wire.GET_LIST, number);
-            case NONE -> { }
+            case NONE -> {}
         }
         for (int i = 0; i < chores.probes.size(); i++) {
             reply.withBackend(Wire.INSPECT, number, chores.probes.get(i));
--- a/relay/src/main/java/ambertrestle/simhost/SimHost.java
+++ b/relay/src/main/java/ambertrestle/simhost/SimHost.java
@@ -46,16 +46,17 @@
             }
             long length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
             if (got < 4 || length < 12 || length > Integer.MAX_VALUE - 16) {
-                throw new WireException(got < 4 ? "frame " + frames + " is cut short in its length field"
-                        : "frame " + frames + " has a length of " + length);
+                throw new WireException(
+                        got < 4
+                                ? "frame " + frames + " is cut short in its length field"
+                                : "frame " + frames + " has a length of " + length);
             }
             if (frame.capacity() < length) {
                 frame = sized((int) length);
             }
             int read = in.readNBytes(frame.array(), 0, (int) length);
             if (read < length) {
-                throw new WireException("frame " + frames + " is cut short: " + read + " of " + length
-                        + " bytes");
+                throw new WireException("frame " + frames + " is cut short: " + read + " of " + length + " bytes");
             }
             frame.limit((int) length);
             answer(new Wire.Batch(frame));
@@ -127,14 +128,30 @@
             }
             case Wire.ARRIVAL -> {
                 int bits = b.u8(45);
-                instance.arrived(new Association(b.u64(3), b.u16(11), b.i32(13), b.u64(17), b.u64(37),
-                        b.u64(25) * 1000, (bits & 1) != 0 ? b.u32(33) * 1000.0 : 0, (bits & 8) != 0,
-                        (bits & 16) != 0), now);
+                instance.arrived(
+                        new Association(
+                                b.u64(3),
+                                b.u16(11),
+                                b.i32(13),
+                                b.u64(17),
+                                b.u64(37),
+                                b.u64(25) * 1000,
+                                (bits & 1) != 0 ? b.u32(33) * 1000.0 : 0,
+                                (bits & 8) != 0,
+                                (bits & 16) != 0),
+                        now);
             }
             case Wire.TAKEN_OVER -> {
                 int bits = b.u8(51);
-                Association a = new Association(b.u64(3), b.u16(19), b.i32(43), b.u64(29), b.u64(21),
-                        b.u64(11) * 1000, (bits & 1) != 0 ? b.u32(47) * 1000.0 : 0, (bits & 8) != 0,
+                Association a = new Association(
+                        b.u64(3),
+                        b.u16(19),
+                        b.i32(43),
+                        b.u64(29),
+                        b.u64(21),
+                        b.u64(11) * 1000,
+                        (bits & 1) != 0 ? b.u32(47) * 1000.0 : 0,
+                        (bits & 8) != 0,
                         (bits & 16) != 0);
                 instance.held.put(a.id, a);
                 balancer.takenOver(a, b.backend(37), now);
@@ -159,7 +176,7 @@
                     balancer.established(a, b.u8(21), b.u32(11) * 1000, now);
                 }
             }
-            case Wire.HEALTH, Wire.FROM_PEER -> { } // asked for by no chore of the module
+            case Wire.HEALTH, Wire.FROM_PEER -> {} // asked for by no chore of the module
             default -> throw new WireException(b.place() + ": no such event");
         }
     }
@@ -189,9 +206,14 @@
             if (stage >= STAGES.length) {
                 throw new WireException(b.place() + ": no such stage " + stage);
             }
-            lines.add(new Listed(b.backendAt(at + 11), STAGES[stage], b.bytes.getLong(at) * 1000,
-                    b.bytes.getShort(at + 8) & 0xffff, b.bytes.getFloat(at + 17),
-                    b.bytes.getShort(at + 21) & 0xffff, b.bytes.getShort(at + 23) & 0xffff));
+            lines.add(new Listed(
+                    b.backendAt(at + 11),
+                    STAGES[stage],
+                    b.bytes.getLong(at) * 1000,
+                    b.bytes.getShort(at + 8) & 0xffff,
+                    b.bytes.getFloat(at + 17),
+                    b.bytes.getShort(at + 21) & 0xffff,
+                    b.bytes.getShort(at + 23) & 0xffff));
         }
         balancer.roster(lines, form != 0, form == 2, now);
     }
--- a/relay/src/main/java/ambertrestle/simhost/Wire.java
+++ b/relay/src/main/java/ambertrestle/simhost/Wire.java
@@ -11,11 +11,32 @@
     static final int ACTION = 24;
     static final int ENTRY = 25;
     /** Events. */
-    static final int STOP = 0, ARRIVAL = 1, FIRED = 2, HEALTH = 3, SETTLED = 4, DISCOVERY = 5, UPDATE_OF = 6,
-            EXPIRED = 7, ESTABLISHED = 8, TAKEN_OVER = 9, FROM_PEER = 10, UP = 11;
+    static final int STOP = 0,
+            ARRIVAL = 1,
+            FIRED = 2,
+            HEALTH = 3,
+            SETTLED = 4,
+            DISCOVERY = 5,
+            UPDATE_OF = 6,
+            EXPIRED = 7,
+            ESTABLISHED = 8,
+            TAKEN_OVER = 9,
+            FROM_PEER = 10,
+            UP = 11;
     /** Actions. */
-    static final int TRACK = 0, GET_LIST = 1, INSPECT = 2, SURRENDER = 3, CANCEL = 4, PUBLISH = 5, CRASH = 6,
-            EVICT = 7, HAND_OFF = 8, SET_TIMER = 9, PUSH_BACK = 10, RELEASE = 11, EMIT = 12;
+    static final int TRACK = 0,
+            GET_LIST = 1,
+            INSPECT = 2,
+            SURRENDER = 3,
+            CANCEL = 4,
+            PUBLISH = 5,
+            CRASH = 6,
+            EVICT = 7,
+            HAND_OFF = 8,
+            SET_TIMER = 9,
+            PUSH_BACK = 10,
+            RELEASE = 11,
+            EMIT = 12;
 
     private Wire() {}
 
@@ -27,6 +48,7 @@
         private final int tail;
         /** Where the record in hand starts. */
         int at;
+
         private int index;
 
         Batch(ByteBuffer bytes) {
@@ -34,8 +56,8 @@
             clockUs = bytes.getLong(0);
             long count = bytes.getInt(8) & 0xffffffffL;
             if (12 + count * EVENT > bytes.limit()) {
-                throw new WireException("batch at clock " + clockUs + " names " + count
-                        + " records but holds " + (bytes.limit() - 12) / EVENT);
+                throw new WireException("batch at clock " + clockUs + " names " + count + " records but holds "
+                        + (bytes.limit() - 12) / EVENT);
             }
             records = (int) count;
             tail = 12 + records * EVENT;
@@ -99,8 +121,8 @@
         }
 
         String place() {
-            return "batch at clock " + clockUs + ", record " + index + " (event " + u8(0)
-                    + ", instance " + u16(1) + ")";
+            return "batch at clock " + clockUs + ", record " + index + " (event " + u8(0) + ", instance " + u16(1)
+                    + ")";
         }
     }
 
--- a/relay/src/test/java/ambertrestle/ReducerTest.java
+++ b/relay/src/test/java/ambertrestle/ReducerTest.java
@@ -34,25 +34,56 @@
         List<RosterMessage.Line> lines = new ArrayList<>();
         for (String name : names) {
             String[] parts = name.split("=");
-            lines.add(new RosterMessage.Line(parts[0], parts[0] + ":80", parts.length < 2 ? Stage.READY
-                    : Stage.valueOf(parts[1]), "west", "m2", 0, 1, 0));
+            lines.add(new RosterMessage.Line(
+                    parts[0],
+                    parts[0] + ":80",
+                    parts.length < 2 ? Stage.READY : Stage.valueOf(parts[1]),
+                    "west",
+                    "m2",
+                    0,
+                    1,
+                    0));
         }
         return new RosterMessage(index, whole, lines);
     }
 
     private void start(String... names) {
         s.ticket.put("familyInfo.tellsDelay", "unseen");
-        reducer = new Reducer(new RunValues(s.ticket, 7,
-                List.of(2000 * Scene.MS, 2000 * Scene.MS, 2000 * Scene.MS), List.of("west"), List.of("m2"),
-                100 * Scene.MS, mostSockets, 150 * Scene.MS, packetsPass, new Address("r", 1)), list(3, true, names), s.now);
+        reducer = new Reducer(
+                new RunValues(
+                        s.ticket,
+                        7,
+                        List.of(2000 * Scene.MS, 2000 * Scene.MS, 2000 * Scene.MS),
+                        List.of("west"),
+                        List.of("m2"),
+                        100 * Scene.MS,
+                        mostSockets,
+                        150 * Scene.MS,
+                        packetsPass,
+                        new Address("r", 1)),
+                list(3, true, names),
+                s.now);
         happens("start", new Event.Woke());
     }
 
     private void startKept(Recovery.Beginning beginning) {
         s.ticket.put("familyInfo.tellsDelay", "unseen");
-        reducer = new Reducer(new RunValues(s.ticket, 7,
-                List.of(2000 * Scene.MS, 2000 * Scene.MS, 2000 * Scene.MS), List.of("west"), List.of("m2"),
-                100 * Scene.MS, mostSockets, 150 * Scene.MS, packetsPass, new Address("r", 1)), beginning, true, Balancer::new, s.now);
+        reducer = new Reducer(
+                new RunValues(
+                        s.ticket,
+                        7,
+                        List.of(2000 * Scene.MS, 2000 * Scene.MS, 2000 * Scene.MS),
+                        List.of("west"),
+                        List.of("m2"),
+                        100 * Scene.MS,
+                        mostSockets,
+                        150 * Scene.MS,
+                        packetsPass,
+                        new Address("r", 1)),
+                beginning,
+                true,
+                Balancer::new,
+                s.now);
         happens("start", new Event.Woke());
     }
 
@@ -60,8 +91,14 @@
     @Test
     void anOldListIsServedWithCareUntilTheRosterIsHeard() throws Exception {
         Kept kept = new Kept(0, new Kept.Whole(300, 10_000 * Scene.MS, 0, 0, 0, 0), List.of(), List.of(), false);
-        startKept(new Recovery.Beginning(Recovery.From.KEPT, list(3, true, "s-1", "s-2", "s-3", "s-4"), s.now - 3_600_000 * Scene.MS, true, true,
-                kept, List.of()));
+        startKept(new Recovery.Beginning(
+                Recovery.From.KEPT,
+                list(3, true, "s-1", "s-2", "s-3", "s-4"),
+                s.now - 3_600_000 * Scene.MS,
+                true,
+                true,
+                kept,
+                List.of()));
         wire("roster service refuses", new Heard.RosterBroke("not connected"));
         s.at(300);
         opens(1, "c=pay,d=2000,g=a1");
@@ -88,17 +125,29 @@
     private String told(Effect effect) {
         if (effect instanceof Effect.OnWire wire) {
             Ask ask = wire.ask();
-            return ask instanceof Ask.Dial d ? "dial " + d.socket() + " " + d.address() + " " + text(d.line())
-                    : ask instanceof Ask.Write w ? "write " + w.socket() + " " + text(w.line())
-                    : ask instanceof Ask.Close c ? "close " + c.socket()
-                    : ask instanceof Ask.Reset r ? "reset " + r.socket()
-                    : ask instanceof Ask.Finish f ? "finish " + f.socket()
-                    : ask instanceof Ask.Watch w ? "watch " + w.at() + " from " + w.index() : "";
+            return ask instanceof Ask.Dial d
+                    ? "dial " + d.socket() + " " + d.address() + " " + text(d.line())
+                    : ask instanceof Ask.Write w
+                            ? "write " + w.socket() + " " + text(w.line())
+                            : ask instanceof Ask.Close c
+                                    ? "close " + c.socket()
+                                    : ask instanceof Ask.Reset r
+                                            ? "reset " + r.socket()
+                                            : ask instanceof Ask.Finish f
+                                                    ? "finish " + f.socket()
+                                                    : ask instanceof Ask.Watch w
+                                                            ? "watch " + w.at() + " from " + w.index()
+                                                            : "";
         }
         if (effect instanceof Effect.Keep keep) {
-            return "keep " + keep.part().backends().size() + " judged, " + keep.part().pins().size() + " pins";
+            return "keep " + keep.part().backends().size() + " judged, "
+                    + keep.part().pins().size() + " pins";
         }
-        return effect instanceof Effect.KeepRoster keep ? "keep roster " + keep.message().index() : effect instanceof Effect.Note note ? "note " + note.line() : effect instanceof Effect.Stop ? "stop" : "";
+        return effect instanceof Effect.KeepRoster keep
+                ? "keep roster " + keep.message().index()
+                : effect instanceof Effect.Note note
+                        ? "note " + note.line()
+                        : effect instanceof Effect.Stop ? "stop" : "";
     }
 
     private static String text(byte[] raw) {
@@ -200,9 +249,21 @@
     @Test
     void whatIsNoOpeningIsAnsweredAndNotSentOn() throws Exception {
         start("s-1");
-        String[] bad = {"HELLO", "OPEN", "OPEN 1", "OPEN x 1 c=read", "OPEN 1 1 t=x,c=read,d=-5", "OPEN 1 1 c=read,t=y",
-            "OPEN 1 1 t=x,c=other,d=9", "OPEN 1 1 =read", "OPEN 1 1 c=read,c=read", "OPEN 1 1 c=read,h=x",
-            "OPEN 1 1 c=\ufffd", "OPEN 1 1 c=read,t=x,d=", "OPEN 1 1 c=read,t=x,d=99999999999"};
+        String[] bad = {
+            "HELLO",
+            "OPEN",
+            "OPEN 1",
+            "OPEN x 1 c=read",
+            "OPEN 1 1 t=x,c=read,d=-5",
+            "OPEN 1 1 c=read,t=y",
+            "OPEN 1 1 t=x,c=other,d=9",
+            "OPEN 1 1 =read",
+            "OPEN 1 1 c=read,c=read",
+            "OPEN 1 1 c=read,h=x",
+            "OPEN 1 1 c=\ufffd",
+            "OPEN 1 1 c=read,t=x,d=",
+            "OPEN 1 1 c=read,t=x,d=99999999999"
+        };
         for (int i = 0; i < bad.length; i++) {
             reducer.apply(new Event.OnWire(new Heard.Accepted(i + 1)), s.now);
             client(i + 1, bad[i]);
@@ -297,7 +358,12 @@
     @Test
     void whatWasKnownOfAFaultyEntryStands() throws Exception {
         start("s-1", "s-2");
-        wire("whole list, s-2 faulty", new Heard.Roster(list(4, true, "s-1=DRAINING"), new TreeMap<>(Map.of("s-2", "status of s-2 is not known", "s-9", "address of s-9 is missing"))));
+        wire(
+                "whole list, s-2 faulty",
+                new Heard.Roster(
+                        list(4, true, "s-1=DRAINING"),
+                        new TreeMap<>(
+                                Map.of("s-2", "status of s-2 is not known", "s-9", "address of s-9 is missing"))));
         for (int i = 1; i < 5; i++) {
             s.at(1500);
             opens(i, "c=read,d=2000");
--- a/relay/src/test/java/ambertrestle/SimHostTest.java
+++ b/relay/src/test/java/ambertrestle/SimHostTest.java
@@ -48,11 +48,16 @@
     private String settings() {
         StringBuilder text = new StringBuilder("strange.key=1\n");
         s.ticket.forEach((name, value) -> text.append(name.replace("rules.", "guarantees.")
-                .replace("relays", "siblings").replace("limits.dispatches", "limits.mostDispatches")
-                .replaceAll("(goalTime|cutOff|window|messageAim|maxRetryAfter|drainGrace|cold|fall)$", "$1Us")
-                .replace(".effect", ".repeat").replace(".scope", ".dedupScope")).append('=')
-                .append(value.replaceAll("000$", "").replace("retriable", "idempotent")
-                        .replace("fingerprinted", "deduplicated").replace("binding", "at_most_once"))
+                        .replace("relays", "siblings")
+                        .replace("limits.dispatches", "limits.mostDispatches")
+                        .replaceAll("(goalTime|cutOff|window|messageAim|maxRetryAfter|drainGrace|cold|fall)$", "$1Us")
+                        .replace(".effect", ".repeat")
+                        .replace(".scope", ".dedupScope"))
+                .append('=')
+                .append(value.replaceAll("000$", "")
+                        .replace("retriable", "idempotent")
+                        .replace("fingerprinted", "deduplicated")
+                        .replace("binding", "at_most_once"))
                 .append('\n'));
         return text.toString();
     }
@@ -60,7 +65,9 @@
     private byte[] up(String settings) {
         String hex = HexFormat.of().formatHex(settings.getBytes(StandardCharsets.UTF_8));
         int length = hex.length() / 2;
-        return batch(hex + ROSTER, "0b 0300 0100000000000000 00000000" + le(length),
+        return batch(
+                hex + ROSTER,
+                "0b 0300 0100000000000000 00000000" + le(length),
                 "05 0300 02 29000000" + le(length) + "01000000");
     }
 
@@ -76,24 +83,26 @@
 
     @Test
     void startAndStopInOneBatchLeaveNothing() throws Exception {
-        byte[] both = batch(HexFormat.of().formatHex(settings().getBytes(StandardCharsets.UTF_8)),
-                "0b 0300 0100000000000000 00000000" + le(settings().length()), "00 0300");
+        byte[] both = batch(
+                HexFormat.of().formatHex(settings().getBytes(StandardCharsets.UTF_8)),
+                "0b 0300 0100000000000000 00000000" + le(settings().length()),
+                "00 0300");
         assertThat(reply(both)).isEqualTo("0000000000000000");
     }
 
     @Test
     void badSettingsAreNamedInACrash() throws Exception {
         String reply = reply(up(settings().replaceAll("(drainGraceUs)=\\d+", "$1=soon")));
-        assertThat(new String(bytes(reply), StandardCharsets.UTF_8))
-                .contains("rules.drainGrace is not a number: soon");
+        assertThat(new String(bytes(reply), StandardCharsets.UTF_8)).contains("rules.drainGrace is not a number: soon");
     }
 
     @Test
     void badInputIsNamedInOneLine() {
         assertThatThrownBy(() -> reply(bytes("0c000000 5a5c")))
-                .isInstanceOf(WireException.class).hasMessage("frame 0 is cut short: 2 of 12 bytes");
-        assertThatThrownBy(() -> reply(batch("", "01 0300"))).hasMessage("batch at clock 8412250, record 0 "
-                + "(event 1, instance 3): this instance is not up");
+                .isInstanceOf(WireException.class)
+                .hasMessage("frame 0 is cut short: 2 of 12 bytes");
+        assertThatThrownBy(() -> reply(batch("", "01 0300")))
+                .hasMessage("batch at clock 8412250, record 0 " + "(event 1, instance 3): this instance is not up");
         assertThatThrownBy(() -> reply(batch("", "4f 0300"))).hasMessageEndingWith("no such event");
         assertThatThrownBy(() -> reply(batch("", "0b 0300 0100000000000000 00000000 ff000000")))
                 .hasMessageContaining("refers to tail bytes 0 to 255 but the tail holds 0");
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -22,20 +22,35 @@
 /** What an operator types and reads about what is kept. */
 class StateCommandTest {
     private static final long AT = 1_700_000_000_000_000_000L;
+
     @TempDir
     private Path dir;
+
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        return Cli.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err)).execute(args);
+        return Cli.commandLine()
+                .setOut(new PrintWriter(out))
+                .setErr(new PrintWriter(err))
+                .execute(args);
     }
 
     private static Picture picture() {
         long a = RosterMessage.id("a");
-        return new Picture("r", "d:1", AT, AT, new RosterMessage(41, true, List.of(new RosterMessage.Line("a", "10.0.0.1:80", Stage.READY, "w",
-                "m", 0, 1, 0))), new Kept(1, new Whole(22, 10_000_000_000L, 5e6, 0, 0, 0), List.of(new Judged(a, 0, AT, 1, 8, 4,
-                40_000_000, AT, 0)), List.of(new Pin(-7, a, Pin.OPEN), new Pin(8, a, AT)), false));
+        return new Picture(
+                "r",
+                "d:1",
+                AT,
+                AT,
+                new RosterMessage(
+                        41, true, List.of(new RosterMessage.Line("a", "10.0.0.1:80", Stage.READY, "w", "m", 0, 1, 0))),
+                new Kept(
+                        1,
+                        new Whole(22, 10_000_000_000L, 5e6, 0, 0, 0),
+                        List.of(new Judged(a, 0, AT, 1, 8, 4, 40_000_000, AT, 0)),
+                        List.of(new Pin(-7, a, Pin.OPEN), new Pin(8, a, AT)),
+                        false));
     }
 
     private Path file(byte[] bytes) throws Exception {
@@ -48,7 +63,9 @@
             OperatorFile.read(file);
             return List.of();
         } catch (OperatorFile.Faulty e) {
-            return e.faults().stream().map(f -> f.toString().replace(file + ":", "").replace(dir.toString(), "DIR")).toList();
+            return e.faults().stream()
+                    .map(f -> f.toString().replace(file + ":", "").replace(dir.toString(), "DIR"))
+                    .toList();
         }
     }
 
@@ -58,7 +75,10 @@
         assertThat(run("state", "verify", file.toString())).isZero();
         assertThat(out.toString()).contains("whole, kept by r at 2023-11-14T22:13:20Z: 1 backends, 1 judged, 2 pins");
         assertThat(run("state", "show", "--pins", file.toString())).isZero();
-        assertThat(out.toString()).contains("version 41 of d:1").contains("2.00 connections a second").contains("10.0.0.1:80")
+        assertThat(out.toString())
+                .contains("version 41 of d:1")
+                .contains("2.00 connections a second")
+                .contains("10.0.0.1:80")
                 .contains("fffffffffffffff9 a                        open");
     }
 
@@ -67,8 +87,9 @@
         byte[] whole = StateFile.encode(picture());
         Path file = file(java.util.Arrays.copyOf(whole, whole.length - 9));
         assertThat(run("state", "verify", file.toString())).isEqualTo(1);
-        assertThat(err.toString()).isEqualTo("ambertrestle: " + file + " is cut off: " + (whole.length - 41) + " of " + (whole.length - 32)
-                + " bytes" + System.lineSeparator());
+        assertThat(err.toString())
+                .isEqualTo("ambertrestle: " + file + " is cut off: " + (whole.length - 41) + " of "
+                        + (whole.length - 32) + " bytes" + System.lineSeparator());
         assertThat(run("state", "show", dir.resolve("none").toString())).isEqualTo(1);
         assertThat(err.toString()).contains("none cannot be read");
         assertThat(run("state")).isEqualTo(2);
@@ -77,16 +98,21 @@
     @Test
     void eachFaultOfDurableIsNamedByItsKey() throws Exception {
         assertThat(faults("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
-        assertThat(faults("folder = \"" + dir.resolve("none") + "\"\n")).containsExactly(
-                "2: durable.folder is not there: expected a folder that outlives the relay, got DIR/none");
+        assertThat(faults("folder = \"" + dir.resolve("none") + "\"\n"))
+                .containsExactly(
+                        "2: durable.folder is not there: expected a folder that outlives the relay, got DIR/none");
         String fine = "folder = \"" + dir + "\"\n";
         assertThat(faults(fine)).isEmpty();
-        assertThat(faults(fine + "most-age = \"-5s\"\n")).containsExactly(
-                "3: durable.most-age is malformed: expected a time such as \"250ms\", \"3s\" or \"2m\", got -5s");
-        assertThat(faults(fine + "interval = \"50ms\"\n")).containsExactly("3: durable.interval is malformed: expected a time from 100ms to 1h");
-        assertThat(faults(fine + "interval = \"10s\"\nmost-age = \"10s\"\n")).containsExactly(
-                "4: durable.most-age is malformed: expected more than interval");
-        assertThat(faults(fine + "most-megabytes = 0\nsize = 3\n")).containsExactly(
-                "3: durable.most-megabytes is malformed: expected a whole number from 1 to 1024, got 0", "4: durable.size is not known; the nearest known is sure");
+        assertThat(faults(fine + "most-age = \"-5s\"\n"))
+                .containsExactly(
+                        "3: durable.most-age is malformed: expected a time such as \"250ms\", \"3s\" or \"2m\", got -5s");
+        assertThat(faults(fine + "interval = \"50ms\"\n"))
+                .containsExactly("3: durable.interval is malformed: expected a time from 100ms to 1h");
+        assertThat(faults(fine + "interval = \"10s\"\nmost-age = \"10s\"\n"))
+                .containsExactly("4: durable.most-age is malformed: expected more than interval");
+        assertThat(faults(fine + "most-megabytes = 0\nsize = 3\n"))
+                .containsExactly(
+                        "3: durable.most-megabytes is malformed: expected a whole number from 1 to 1024, got 0",
+                        "4: durable.size is not known; the nearest known is sure");
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/durable/FaultyDisk.java
+++ b/relay/src/test/java/ambertrestle/relay/durable/FaultyDisk.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory whose every step can fail, or be the last that the process takes. After a kill, what was written stands up to
- * the byte it had come to, and names stand as far as they were changed.
+ * A folder in memory whose every step can fail, or be the last that the process takes. After a kill, what was written
+ * stands up to the byte it had come to, and names stand as far as they were changed.
  */
 final class FaultyDisk implements Disk {
     /** The process is gone in the middle of a step. */
@@ -22,6 +22,7 @@
     long lives = Long.MAX_VALUE;
     /** So many bytes fit in all. */
     long room = Long.MAX_VALUE;
+
     boolean readOnly;
     /** Another relay holds it. */
     boolean others;
--- a/relay/src/test/java/ambertrestle/relay/durable/FolderTest.java
+++ b/relay/src/test/java/ambertrestle/relay/durable/FolderTest.java
@@ -19,8 +19,10 @@
 /** Each test breaks a disk in one way and looks at what the next process finds. */
 class FolderTest {
     private static final long DAY = 86_400 * SECOND;
+
     @TempDir
     private Path dir;
+
     private final FaultyDisk disk = new FaultyDisk();
 
     private Folder folder() throws IOException {
@@ -63,7 +65,9 @@
             Folder.Found found = found();
             assertThat(found.picture()).as("killed after " + lives).isNotNull();
             assertThat(mark(found)).as("killed after " + lives).isBetween(2, 3);
-            assertThat(found.passed()).as("what is half written has not the name of a whole one").isEmpty();
+            assertThat(found.passed())
+                    .as("what is half written has not the name of a whole one")
+                    .isEmpty();
             older += mark(found) == 2 ? 1 : 0;
             if (!killed) {
                 break;
@@ -109,12 +113,14 @@
         byte[] whole = disk.files.get("state-000000000000000002");
         disk.files.put("state-000000000000000002", java.util.Arrays.copyOf(whole, whole.length / 2));
         assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason).isEqualTo(Reason.TORN));
+        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason)
+                .isEqualTo(Reason.TORN));
         byte[] flipped = whole.clone();
         flipped[whole.length - 3] ^= 4;
         disk.files.put("state-000000000000000002", flipped);
         assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason).isEqualTo(Reason.CHECKSUM));
+        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason)
+                .isEqualTo(Reason.CHECKSUM));
     }
 
     @Test
@@ -142,7 +148,8 @@
         ByteBuffer.wrap(newer).putInt(24, (int) crc.getValue());
         disk.files.put("state-000000000000000007", newer);
         assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why()).hasMessageContaining("newer version: 2, this one reads up to 1"));
+        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why())
+                .hasMessageContaining("newer version: 2, this one reads up to 1"));
         keep(3);
         keep(4);
         keep(5);
@@ -154,9 +161,12 @@
     @Test
     void anotherRelaysFileIsRefusedAndNeverDeleted() throws IOException {
         Picture p = Pictures.at(NOW, 1);
-        disk.files.put("state-000000000000000001", StateFile.encode(new Picture("other", p.rosterAt(), p.keptAt(), p.heardAt(), p.roster(), p.kept())));
+        disk.files.put(
+                "state-000000000000000001",
+                StateFile.encode(new Picture("other", p.rosterAt(), p.keptAt(), p.heardAt(), p.roster(), p.kept())));
         assertThat(found().picture()).isNull();
-        assertThat(found().passed()).singleElement().satisfies(x -> assertThat(x.why().reason).isEqualTo(Reason.OTHER_RELAY));
+        assertThat(found().passed()).singleElement().satisfies(x -> assertThat(x.why().reason)
+                .isEqualTo(Reason.OTHER_RELAY));
         keep(2);
         keep(3);
         keep(4);
@@ -166,14 +176,18 @@
     @Test
     void aFileOlderThanItsLimitOrLargerIsRefusedUnread() throws IOException {
         disk.files.put("state-000000000000000001", StateFile.encode(Pictures.at(NOW - DAY - SECOND, 1)));
-        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason).isEqualTo(Reason.TOO_OLD));
+        assertThat(found().passed()).singleElement().satisfies(p -> assertThat(p.why().reason)
+                .isEqualTo(Reason.TOO_OLD));
         disk.files.put("state-000000000000000002", new byte[(1 << 20) + 1]);
-        assertThat(found().passed()).hasSize(2).first().satisfies(p -> assertThat(p.why().reason).isEqualTo(Reason.TOO_LARGE));
+        assertThat(found().passed()).hasSize(2).first().satisfies(p -> assertThat(p.why().reason)
+                .isEqualTo(Reason.TOO_LARGE));
     }
 
     @Test
     void whatStandsThereAndIsNoStateAtAllIsNamed() throws IOException {
-        disk.files.put("state-000000000000000001", "hello, this is a note that somebody left here".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        disk.files.put(
+                "state-000000000000000001",
+                "hello, this is a note that somebody left here".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         disk.files.put("state-000000000000000002", new byte[0]);
         disk.files.put("notes.txt", new byte[3]);
         assertThat(found().picture()).isNull();
@@ -251,8 +265,14 @@
         keeper.read(NOW, new ArrayList<>());
         Hand hand = new Hand();
         hand.take(Pictures.list(1, true, "a", "b"));
-        hand.take(new ambertrestle.decide.Kept(1, ambertrestle.decide.Kept.Whole.NOTHING, List.of(Pictures.judged("a", NOW)),
-                java.util.stream.LongStream.range(0, 500).mapToObj(k -> new ambertrestle.decide.Kept.Pin(k, 1, NOW)).toList(), false));
+        hand.take(new ambertrestle.decide.Kept(
+                1,
+                ambertrestle.decide.Kept.Whole.NOTHING,
+                List.of(Pictures.judged("a", NOW)),
+                java.util.stream.LongStream.range(0, 500)
+                        .mapToObj(k -> new ambertrestle.decide.Kept.Pin(k, 1, NOW))
+                        .toList(),
+                false));
         assertThat(keeper.write(hand, "d:1", NOW, NOW).event()).isEqualTo("state-too-large");
         assertThat(found().picture().kept().pins()).isEmpty();
         assertThat(found().picture().roster().lines()).hasSize(2);
--- a/relay/src/test/java/ambertrestle/relay/durable/RecoveryTest.java
+++ b/relay/src/test/java/ambertrestle/relay/durable/RecoveryTest.java
@@ -38,8 +38,12 @@
         Beginning newer = begin(Pictures.list(50, true, "x"), Pictures.at(NOW - SECOND, 1));
         assertThat(newer.from()).isEqualTo(From.KNOWN);
         assertThat(newer.unseen()).isTrue();
-        assertThat(newer.kept().backends()).as("judgments are taken all the same").hasSize(2);
-        assertThat(begin(Pictures.list(41, true, "x"), Pictures.at(NOW - SECOND, 1)).from()).isEqualTo(From.KEPT);
+        assertThat(newer.kept().backends())
+                .as("judgments are taken all the same")
+                .hasSize(2);
+        assertThat(begin(Pictures.list(41, true, "x"), Pictures.at(NOW - SECOND, 1))
+                        .from())
+                .isEqualTo(From.KEPT);
     }
 
     @Test
@@ -56,25 +60,31 @@
     void versionsOfAnotherRosterServiceMeanNothingHere() {
         Beginning b = Recovery.begin(NONE, Pictures.at(NOW - SECOND, 1), "elsewhere:2", SURE, NOW);
         assertThat(b.comparable()).isFalse();
-        assertThat(b.said()).singleElement().satisfies(s -> assertThat(s.fields()).containsEntry("reason", "other-roster"));
+        assertThat(b.said()).singleElement().satisfies(s -> assertThat(s.fields())
+                .containsEntry("reason", "other-roster"));
         assertThat(begin(NONE, Pictures.at(NOW - SECOND, 1)).comparable()).isTrue();
     }
 
     @Test
     void changesAfterAnOldListGiveTheWholeListAsItNowIs() {
-        RosterMessage now = Pictures.list(40, true, "a", "b", "c").after(Pictures.list(44, false, "b=GONE", "c=DRAINING", "d"));
+        RosterMessage now =
+                Pictures.list(40, true, "a", "b", "c").after(Pictures.list(44, false, "b=GONE", "c=DRAINING", "d"));
         assertThat(now).isEqualTo(Pictures.list(44, true, "a", "c=DRAINING", "d"));
     }
 
     @Test
     void aRosterServiceThatAnswersOneLineAndDiesAgainIsNotTakenForOneThatIsBack() {
         Start start = new Start(begin(NONE, Pictures.at(NOW - 60 * SECOND, 1)), NOW);
-        assertThat(start.woke(NOW).line()).isEqualTo("begins with the kept list of 3 backends, heard 60.0 s ago; until the roster service is heard "
-                + "all count as cold");
+        assertThat(start.woke(NOW).line())
+                .isEqualTo(
+                        "begins with the kept list of 3 backends, heard 60.0 s ago; until the roster service is heard "
+                                + "all count as cold");
         start.broke();
         assertThat(start.woke(NOW + SECOND)).isNull();
         Said said = start.heard(Pictures.list(44, true, "a", "b=DRAINING", "e"), NOW + 2 * SECOND);
-        assertThat(said.line()).isEqualTo("the roster service is heard after 2.0 s: since the list it began with 1 are gone, 1 new, 0 restarted, 1 drain");
+        assertThat(said.line())
+                .isEqualTo(
+                        "the roster service is heard after 2.0 s: since the list it began with 1 are gone, 1 new, 0 restarted, 1 drain");
         start.broke();
         assertThat(start.woke(NOW + 9 * SECOND)).isNull();
         assertThat(start.at()).isEqualTo(Start.At.CONVERGING);
--- a/relay/src/test/java/ambertrestle/relay/life/LogTest.java
+++ b/relay/src/test/java/ambertrestle/relay/life/LogTest.java
@@ -23,10 +23,10 @@
             }
 
             @Override
-            public void flush() { }
+            public void flush() {}
 
             @Override
-            public void close() { }
+            public void close() {}
         };
         Logger logger = Logger.getLogger("ambertrestle");
         logger.addHandler(handler);
@@ -39,15 +39,21 @@
     }
 
     private static void garbled() {
-        Log.tell(System.Logger.Level.INFO, "backend-garbled", "a backend sent {0} \"no line\"",
+        Log.tell(
+                System.Logger.Level.INFO,
+                "backend-garbled",
+                "a backend sent {0} \"no line\"",
                 new TreeMap<>(Map.of("association", "ff01", "backend", "b:1", "useCase", "read")));
     }
 
     @Test
     void aTextLineHasTimeLevelEventWordsAndNamedFields() {
-        assertThat(logged(new Log.Text(), LogTest::garbled)).singleElement().asString().matches(
-                "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO backend-garbled: a backend sent \\{0\\} \"no line\""
-                        + " association=ff01 backend=b:1 useCase=read\\R");
+        assertThat(logged(new Log.Text(), LogTest::garbled))
+                .singleElement()
+                .asString()
+                .matches(
+                        "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO backend-garbled: a backend sent \\{0\\} \"no line\""
+                                + " association=ff01 backend=b:1 useCase=read\\R");
     }
 
     @Test
@@ -57,22 +63,30 @@
         JsonObject json = new JsonObject(lines.get(0));
         assertThat(json.getString("event")).isEqualTo("backend-garbled");
         assertThat(json.getString("message")).isEqualTo("a backend sent {0} \"no line\"");
-        assertThat(json.getString("association") + json.getString("backend") + json.getString("useCase")).isEqualTo("ff01b:1read");
+        assertThat(json.getString("association") + json.getString("backend") + json.getString("useCase"))
+                .isEqualTo("ff01b:1read");
         assertThat(json.getString("level")).isEqualTo("INFO");
         assertThat(json.getInstant("time")).isNotNull();
     }
 
     @Test
     void aFailureKeepsItsTraceInOneField() {
-        assertThat(logged(new Log.Json(), () -> Log.failed("event-failed", "an event failed", new IllegalStateException("why"))))
-                .singleElement().satisfies(line -> assertThat(new JsonObject(line).getString("trace"))
-                        .startsWith("java.lang.IllegalStateException: why").contains("LogTest"));
+        assertThat(logged(
+                        new Log.Json(),
+                        () -> Log.failed("event-failed", "an event failed", new IllegalStateException("why"))))
+                .singleElement()
+                .satisfies(line -> assertThat(new JsonObject(line).getString("trace"))
+                        .startsWith("java.lang.IllegalStateException: why")
+                        .contains("LogTest"));
     }
 
     /** What libraries log has no event of ours. */
     @Test
     void aLibrarysLineIsToldUnderItsLoggersName() {
-        assertThat(logged(new Log.Text(), () -> Logger.getLogger("ambertrestle.other").log(java.util.logging.Level.WARNING, "{0} left", 3)))
-                .singleElement().asString().contains("WARNING ambertrestle.other: 3 left");
+        assertThat(logged(new Log.Text(), () -> Logger.getLogger("ambertrestle.other")
+                        .log(java.util.logging.Level.WARNING, "{0} left", 3)))
+                .singleElement()
+                .asString()
+                .contains("WARNING ambertrestle.other: 3 left");
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/life/RunSheetTest.java
+++ b/relay/src/test/java/ambertrestle/relay/life/RunSheetTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RunSheetTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
         {"name":"n3","listen":"127.0.0.1:80","discovery":"127.0.0.2:85","seed":"ff00000000000001",
          "limits":{"sockets":200},"strange":1,
          "known":{"index":4,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.9:1","zone":"west",
@@ -25,12 +26,16 @@
            "zones":["west"],"machineTypes":["m2"],"limits":{"connectTimeoutUs":150000},
            "useCases":[{"name":"read it","cutOffUs":2000,"repeat":"idempotent"}],"tenants":[{"name":"x"}]}}
         """;
+
     @TempDir
     private Path dir;
 
     private RunSheet read(String json) throws Exception {
-        return RunSheet.read(Map.of("BALANCER_CONFIG",
-                Files.writeString(dir.resolve("c.json"), json).toString(), "BALANCER_LISTEN", "127.0.0.5:81"));
+        return RunSheet.read(Map.of(
+                "BALANCER_CONFIG",
+                Files.writeString(dir.resolve("c.json"), json).toString(),
+                "BALANCER_LISTEN",
+                "127.0.0.5:81"));
     }
 
     @Test
@@ -45,21 +50,28 @@
         assertThat(sheet.values().messageGoal()).isEqualTo(60_000);
         assertThat(sheet.values().mostSockets()).isEqualTo(136);
         assertThat(sheet.values().packetsPass()).isTrue();
-        assertThat(sheet.values().jobTicket()).containsEntry("relays", "4").containsEntry("useCases.count", "1")
-                .containsEntry("useCases.0.effect", "retriable").containsEntry("useCases.0.name", "read_it")
-                .containsEntry("familyInfo.tellsDelay", "unseen").containsEntry("familyInfo.messageAim", "90500,60000");
+        assertThat(sheet.values().jobTicket())
+                .containsEntry("relays", "4")
+                .containsEntry("useCases.count", "1")
+                .containsEntry("useCases.0.effect", "retriable")
+                .containsEntry("useCases.0.name", "read_it")
+                .containsEntry("familyInfo.tellsDelay", "unseen")
+                .containsEntry("familyInfo.messageAim", "90500,60000");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"seed\":\"ff00000000000001\" | \"seed\":\"xyz\" | seed is malformed: expected 64 bits of hex, got xyz",
-        "\"settings\": | \"other\": | settings is missing: expected an object",
-        "\"terminating\" | \"asleep\" | known is malformed: status of s-1 is not known",
-        "\"connectTimeoutUs\":150000 | \"connectTimeoutUs\":\"soon\" "
-            + "| settings: limits.connectTimeout is malformed: expected a number, got soon",
-        "\"sockets\":200 | \"sockets\":\"many\" | limits.sockets is malformed: expected a whole number, got many",
-        "\"discovery\":\"127.0.0.2:85\" | \"discovery\":\"here\" "
-            + "| discovery is malformed: expected an address and port, got here"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"seed\":\"ff00000000000001\" | \"seed\":\"xyz\" | seed is malformed: expected 64 bits of hex, got xyz",
+                "\"settings\": | \"other\": | settings is missing: expected an object",
+                "\"terminating\" | \"asleep\" | known is malformed: status of s-1 is not known",
+                "\"connectTimeoutUs\":150000 | \"connectTimeoutUs\":\"soon\" "
+                        + "| settings: limits.connectTimeout is malformed: expected a number, got soon",
+                "\"sockets\":200 | \"sockets\":\"many\" | limits.sockets is malformed: expected a whole number, got many",
+                "\"discovery\":\"127.0.0.2:85\" | \"discovery\":\"here\" "
+                        + "| discovery is malformed: expected an address and port, got here"
+            })
     void namesTheFaultyKey(String part, String broken, String message) {
         assertThat(GOOD).contains(part);
         assertThatThrownBy(() -> read(GOOD.replace(part, broken))).hasMessage(message);
@@ -69,13 +81,19 @@
     void aNewFileWinsForTheRosterServiceAndTellsWhatWaitsForAStart() throws Exception {
         RunSheet first = read(GOOD);
         String moved = GOOD.replace("127.0.0.2:85", "127.0.0.3:86").replace("\"sockets\":200", "\"sockets\":300");
-        Map<String, String> environment = Map.of("BALANCER_DISCOVERY", "127.0.0.2:85", "BALANCER_LISTEN", "127.0.0.5:81",
-                "BALANCER_CONFIG", Files.writeString(dir.resolve("d.json"), moved).toString());
+        Map<String, String> environment = Map.of(
+                "BALANCER_DISCOVERY",
+                "127.0.0.2:85",
+                "BALANCER_LISTEN",
+                "127.0.0.5:81",
+                "BALANCER_CONFIG",
+                Files.writeString(dir.resolve("d.json"), moved).toString());
         RunSheet later = RunSheet.read(environment);
         assertThat(later.values().rosterAt()).isEqualTo(new Address("127.0.0.3", 86));
         assertThat(later.values().mostSockets()).isEqualTo(236);
         assertThat(first.onlyAtStart(later)).isEmpty();
-        assertThat(first.onlyAtStart(read(GOOD.replace("\"siblings\":4", "\"siblings\":5").replace("n3", "n4"))))
+        assertThat(first.onlyAtStart(
+                        read(GOOD.replace("\"siblings\":4", "\"siblings\":5").replace("n3", "n4"))))
                 .containsExactly("name", "settings");
     }
 
--- a/relay/src/test/java/ambertrestle/relay/sheet/SheetTest.java
+++ b/relay/src/test/java/ambertrestle/relay/sheet/SheetTest.java
@@ -12,8 +12,14 @@
 
     @Test
     void timesAreWholeNanosecondsInEveryUnit() {
-        Sheet.Part top = Sheet.parse("f", "a = \"2us\"\nb = \"1.5ms\"\nc = \"3s\"\nd = \"2m\"\ne = \"1h\"\n").top();
-        assertThat(List.of(top.time("a", null), top.time("b", null), top.time("c", null), top.time("d", null), top.time("e", null)))
+        Sheet.Part top = Sheet.parse("f", "a = \"2us\"\nb = \"1.5ms\"\nc = \"3s\"\nd = \"2m\"\ne = \"1h\"\n")
+                .top();
+        assertThat(List.of(
+                        top.time("a", null),
+                        top.time("b", null),
+                        top.time("c", null),
+                        top.time("d", null),
+                        top.time("e", null)))
                 .containsExactly(2_000L, 1_500_000L, 3_000_000_000L, 120_000_000_000L, 3_600_000_000_000L);
         assertThat(top.time("f", "250ms")).isEqualTo(250_000_000L);
     }
@@ -27,8 +33,11 @@
         top.time("c", "1s");
         assertThat(top.whole("d", 1L, 1, 6)).isEqualTo(1);
         top.whole("e", 1L, 0, 6);
-        assertThat(faults(sheet)).hasSize(5).allMatch(f -> f.contains("is malformed: expected "))
-                .element(3).isEqualTo("f:4: d is malformed: expected a whole number from 1 to 6, got 7");
+        assertThat(faults(sheet))
+                .hasSize(5)
+                .allMatch(f -> f.contains("is malformed: expected "))
+                .element(3)
+                .isEqualTo("f:4: d is malformed: expected a whole number from 1 to 6, got 7");
     }
 
     @Test
@@ -39,7 +48,8 @@
             b.whole("y", null, 0, 9);
             b.end();
         });
-        assertThat(faults(sheet)).containsExactly("f:2: a.x is not known", "f:8: b[2].z is not known; the nearest known is y");
+        assertThat(faults(sheet))
+                .containsExactly("f:2: a.x is not known", "f:8: b[2].z is not known; the nearest known is y");
     }
 
     @Test
@@ -49,7 +59,10 @@
         top.text("name", null);
         top.text("a", "x");
         top.parts("b");
-        assertThat(faults(sheet)).anyMatch(f -> f.endsWith("name is missing")).contains("f:1: a is malformed: expected a text in quotes, got a table",
-                "f:2: b is malformed: expected tables written [[b]]");
+        assertThat(faults(sheet))
+                .anyMatch(f -> f.endsWith("name is missing"))
+                .contains(
+                        "f:1: a is malformed: expected a text in quotes, got a table",
+                        "f:2: b is malformed: expected tables written [[b]]");
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/wire/RosterStreamTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/RosterStreamTest.java
@@ -18,8 +18,15 @@
     private static JsonObject list(int index, int entries) {
         JsonArray all = new JsonArray();
         for (int i = 0; i < entries; i++) {
-            all.add(new JsonObject().put("name", "s-" + i).put("address", "10.0." + i / 250 + "." + i % 250 + ":8000")
-                    .put("zone", "a").put("type", "m2").put("group", 3).put("status", "in_service").put("weight", 1.5).put("since_ms", 7));
+            all.add(new JsonObject()
+                    .put("name", "s-" + i)
+                    .put("address", "10.0." + i / 250 + "." + i % 250 + ":8000")
+                    .put("zone", "a")
+                    .put("type", "m2")
+                    .put("group", 3)
+                    .put("status", "in_service")
+                    .put("weight", 1.5)
+                    .put("since_ms", 7));
         }
         return new JsonObject().put("index", index).put("snapshot", true).put("endpoints", all);
     }
@@ -33,13 +40,21 @@
         stream = new RosterStream(heard::add, broke::add);
     }
 
-    /** Found on reading the fleet's page: an indented list broke the watch again and again, and the relay stayed on an old one. */
+    /**
+     * Found on reading the fleet's page: an indented list broke the watch again and again, and the relay stayed on an
+     * old one.
+     */
     @Test
     void theSameListCompactIndentedWithReturnsAndCutAtEveryByteIsTheSameList() {
         JsonObject list = list(41, 3);
         RosterMessage wanted = RosterMessage.decode(list);
         String indented = list.encodePrettily();
-        for (String text : List.of(list.encode() + "\n", indented + "\n", indented.replace("\n", "\r\n") + "\r\n", indented, " \n\t" + indented)) {
+        for (String text : List.of(
+                list.encode() + "\n",
+                indented + "\n",
+                indented.replace("\n", "\r\n") + "\r\n",
+                indented,
+                " \n\t" + indented)) {
             for (int cut = 0; cut <= text.length(); cut++) {
                 again();
                 feed(text.substring(0, cut));
@@ -52,7 +67,8 @@
 
     @Test
     void severalListsInOnePieceAndEmptyLinesBetweenThem() {
-        feed("\r\n\n" + list(1, 1).encode() + list(2, 2).encodePrettily() + "\n\n" + list(3, 1).encode() + "\n");
+        feed("\r\n\n" + list(1, 1).encode() + list(2, 2).encodePrettily() + "\n\n"
+                + list(3, 1).encode() + "\n");
         feed("\n");
         assertThat(heard).extracting(h -> h.message().index()).containsExactly(1L, 2L, 3L);
         assertThat(broke).isEmpty();
@@ -80,7 +96,9 @@
             for (int from = 0; from < text.length(); from += 1_447) {
                 feed(text.substring(from, Math.min(text.length(), from + 1_447)));
             }
-            assertThat(heard).singleElement().satisfies(h -> assertThat(h.message().lines()).hasSize(entries));
+            assertThat(heard)
+                    .singleElement()
+                    .satisfies(h -> assertThat(h.message().lines()).hasSize(entries));
         }
         assertThat(broke).isEmpty();
     }
@@ -94,7 +112,9 @@
         feed(list.encode());
         assertThat(heard).singleElement().satisfies(h -> {
             assertThat(h.message().lines()).extracting(RosterMessage.Line::name).containsExactly("s-0", "s-3");
-            assertThat(h.faulty()).containsEntry("s-1", "status of s-1 is not known").containsEntry("s-2", "address of s-2 is missing")
+            assertThat(h.faulty())
+                    .containsEntry("s-1", "status of s-1 is not known")
+                    .containsEntry("s-2", "address of s-2 is missing")
                     .containsOnlyKeys("s-1", "s-2", "entry 4", "entry 5");
         });
         assertThat(broke).isEmpty();
@@ -102,7 +122,8 @@
 
     @Test
     void whatIsNoListIsToldOnceAndNothingAfterItIsHeard() {
-        for (String text : List.of("{\"index\":1,\"endpoints\":[}", "17 ", "{\"snapshot\":true,\"endpoints\":[]}", "{\"index\":\"x\"}")) {
+        for (String text : List.of(
+                "{\"index\":1,\"endpoints\":[}", "17 ", "{\"snapshot\":true,\"endpoints\":[]}", "{\"index\":\"x\"}")) {
             again();
             broke.clear();
             feed(text);
--- a/relay/src/test/java/ambertrestle/relay/wire/SocketsTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/SocketsTest.java
@@ -45,7 +45,10 @@
     }
 
     private Socket client() throws Exception {
-        int port = sockets.listen("127.0.0.1", 0).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+        int port = sockets.listen("127.0.0.1", 0)
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(10, TimeUnit.SECONDS);
         Socket client = new Socket(here, port);
         assertThat(next()).isEqualTo(new Heard.Accepted(1));
         return client;
@@ -66,7 +69,8 @@
             assertThat(next()).isEqualTo(new Heard.Ended(1));
             ask(new Ask.Write(1, bytes("BUSY\r\n")));
             ask(new Ask.Close(1));
-            assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8)).isEqualTo("BUSY\r\n");
+            assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
+                    .isEqualTo("BUSY\r\n");
             assertThat(next()).isEqualTo(new Heard.Gone(1, false));
         }
     }
@@ -84,7 +88,10 @@
     @Test
     void nothingIsAcceptedWhileTheLoopIsBusy() throws Exception {
         UnixOperatingSystemMXBean system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-        int port = sockets.listen("127.0.0.1", 0).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+        int port = sockets.listen("127.0.0.1", 0)
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(10, TimeUnit.SECONDS);
         CountDownLatch started = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
         vertx.runOnContext(v -> {
@@ -166,7 +173,8 @@
             try (Socket call = service.accept()) {
                 byte[] request = new byte[42];
                 call.getInputStream().readNBytes(request, 0, 42);
-                assertThat(new String(request, StandardCharsets.UTF_8)).startsWith("GET /v1/endpoints?stream=1&index=41 ");
+                assertThat(new String(request, StandardCharsets.UTF_8))
+                        .startsWith("GET /v1/endpoints?stream=1&index=41 ");
                 OutputStream out = call.getOutputStream();
                 String one = "{\"index\":42,\"endpoints\":[]}\n";
                 String body = "\n" + one.substring(0, 9) + "|" + one.substring(9) + one.substring(0, 5) + "|"
