--- a/core/src/main/java/ambertrestle/decide/Backend.java
+++ b/core/src/main/java/ambertrestle/decide/Backend.java
@@ -6,124 +6,134 @@
 final class Backend {
     final long id;
     final long hash;
-    Listed.Stage stage = Listed.Stage.GONE;
+    RosterEntry.Stage stage = RosterEntry.Stage.GONE;
     long startedAt;
     int cell;
     int zone;
     double weight = 1;
     /** Called gone by a list that does not bind, and how many set-ups in a row failed there since. */
-    boolean unlisted;
+    boolean missingFromRoster;
 
-    int missed;
+    int setUpFailuresWhileMissing;
     /** When this relay heard that it drains or is gone. */
-    long heardAt;
+    long drainNoticedAt;
 
-    final ArrayList<Association> open = new ArrayList<>();
+    final ArrayList<Association> openConnections = new ArrayList<>();
     /** Dispatches that are out and not yet established. */
-    int pending;
+    int pendingDispatches;
     /** Load of the open connections, where it is told. */
     double load;
     /** Decaying counts of set-ups that stood, of failures, and of failures that a shared store may cause. */
-    double good;
+    double successes;
 
-    double bad;
-    double slow;
-    long evidenceAt;
-    long fullUntil;
+    double failures;
+    double sharedCauseFailures;
+    long evidenceUpdatedAt;
+    long overCapacityUntil;
     /** When it was last sent to or something there ended. */
-    long usedAt;
+    long lastActiveAt;
     /** Dispatches that the cold budget still allows, and when that was reckoned. */
-    double allowance;
+    double slowStartBudget;
 
-    long allowanceAt;
+    long slowStartBudgetUpdatedAt;
     /** What it held when its messages turned late, and when that was; 0 while never seen. */
-    double carries;
+    double observedCapacity;
 
-    long lateAt;
+    long lastSlowAt;
     /** How long a message was last told to take, 0 while not long. */
-    long delay;
+    long reportedDelay;
 
-    long delayAt = Long.MIN_VALUE / 2;
+    long delayReportedAt = Long.MIN_VALUE / 2;
     /** When an open connection was last broken there. */
-    long brokenAt = Long.MIN_VALUE / 2;
+    long lastResetAt = Long.MIN_VALUE / 2;
     /** When a connection was last asked to leave for the load told there. */
-    long lightenedAt = Long.MIN_VALUE / 2;
+    long lastOffloadAt = Long.MIN_VALUE / 2;
     /** Met on the walk in hand. */
-    int mark;
+    int walkMark;
     /** Holds an open connection of the key in hand, where it is the mark of that look. */
-    int holds;
+    int holdsKeyMark;
 
     Backend(long id) {
         this.id = id;
-        hash = mix(id ^ 0x9e3779b97f4a7c15L);
+        hash = mix64(id ^ 0x9e3779b97f4a7c15L);
     }
 
     /** Spreads ids and keys evenly over all 64 bits. */
-    static long mix(long z) {
+    static long mix64(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
         return z ^ (z >>> 31);
     }
 
     /** Lets the evidence about it fade to this moment. */
-    Backend age(long now, long halfLife) {
-        if (now != evidenceAt) {
-            double keep = Math.pow(0.5, (double) (now - evidenceAt) / halfLife);
-            good *= keep;
-            bad *= keep;
-            slow *= keep;
-            evidenceAt = now;
+    Backend decayEvidence(long now, long halfLife) {
+        if (now != evidenceUpdatedAt) {
+            double keep = Math.pow(0.5, (double) (now - evidenceUpdatedAt) / halfLife);
+            successes *= keep;
+            failures *= keep;
+            sharedCauseFailures *= keep;
+            evidenceUpdatedAt = now;
         }
         return this;
     }
 
     /** What of it outlives this process. */
-    Kept.Judged judged() {
-        return new Kept.Judged(
-                id, startedAt, evidenceAt, good, bad, slow, delay, delayAt, stage == Listed.Stage.READY ? 0 : heardAt);
+    LearnedState.BackendStatistics toStatistics() {
+        return new LearnedState.BackendStatistics(
+                id,
+                startedAt,
+                evidenceUpdatedAt,
+                successes,
+                failures,
+                sharedCauseFailures,
+                reportedDelay,
+                delayReportedAt,
+                stage == RosterEntry.Stage.READY ? 0 : drainNoticedAt);
     }
 
     /** Takes back what was kept; false, and it keeps what it has, where it has started anew since. */
-    boolean remember(Kept.Judged kept) {
-        if (stage == Listed.Stage.GONE || kept.startedAt() != startedAt) {
+    boolean restore(LearnedState.BackendStatistics kept) {
+        if (stage == RosterEntry.Stage.GONE || kept.startedAt() != startedAt) {
             return false;
         }
         // Danger: a grace that begins anew with each start would let a drain be broken by restarting.
-        heardAt = stage != Listed.Stage.READY && kept.heardAt() > 0 ? Math.min(heardAt, kept.heardAt()) : heardAt;
-        good = kept.good();
-        bad = kept.bad();
-        slow = kept.slow();
-        evidenceAt = kept.evidenceAt();
-        delay = kept.delay();
-        delayAt = kept.delayAt();
+        drainNoticedAt = stage != RosterEntry.Stage.READY && kept.drainNoticedAt() > 0
+                ? Math.min(drainNoticedAt, kept.drainNoticedAt())
+                : drainNoticedAt;
+        successes = kept.successes();
+        failures = kept.failures();
+        sharedCauseFailures = kept.sharedCauseFailures();
+        evidenceUpdatedAt = kept.evidenceUpdatedAt();
+        reportedDelay = kept.reportedDelay();
+        delayReportedAt = kept.delayReportedAt();
         return true;
     }
 
-    void add(Association a) {
-        a.place = open.size();
-        open.add(a);
+    void addConnection(Association a) {
+        a.openConnectionIndex = openConnections.size();
+        openConnections.add(a);
     }
 
     /** Whether it was open here; the last one takes its place. */
-    boolean remove(Association a) {
-        if (a.place < 0) {
+    boolean removeConnection(Association a) {
+        if (a.openConnectionIndex < 0) {
             return false;
         }
-        Association last = open.remove(open.size() - 1);
+        Association last = openConnections.remove(openConnections.size() - 1);
         if (last != a) {
-            open.set(a.place, last);
-            last.place = a.place;
+            openConnections.set(a.openConnectionIndex, last);
+            last.openConnectionIndex = a.openConnectionIndex;
         }
-        a.place = -1;
+        a.openConnectionIndex = -1;
         return true;
     }
 
-    int held() {
-        return open.size() + pending;
+    int connectionCount() {
+        return openConnections.size() + pendingDispatches;
     }
 
     /** What it holds: load where one connection's is told, else connections. */
-    double crowd(double one) {
-        return one == 0 ? held() : load + pending * one;
+    double effectiveLoad(double one) {
+        return one == 0 ? connectionCount() : load + pendingDispatches * one;
     }
 }
--- a/core/src/main/java/ambertrestle/decide/Decisions.java
+++ b/core/src/main/java/ambertrestle/decide/BalancingPolicy.java
@@ -8,47 +8,47 @@
  * module; others stand in its place only to be compared with it. One instance a relay, one thread. Times in
  * nanoseconds.
  */
-public interface Decisions {
+public interface BalancingPolicy {
     /** Makes one for a relay that starts: the job ticket, the instance's seed, the time. */
-    interface Maker {
-        Decisions make(Map<String, String> jobTicket, long seed, long now);
+    interface Factory {
+        BalancingPolicy create(Map<String, String> jobTicket, long seed, long now);
     }
 
     /** Where to send this association, which has arrived or has waited as told. */
-    Answer where(Association a, long now);
+    Decision selectBackend(Association a, long now);
 
     /** What to do after this outcome of a dispatch; `finished`: the association is over. */
-    Answer after(Association a, int dispatch, Outcome outcome, boolean finished, long now);
+    Decision onDispatchFinished(Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now);
 
     /** How long to wait before asking again, and the chores now due. */
-    Chores howLong(long now);
+    DueActions pollDueActions(long now);
 
     /** The roster, whole or changes only; `cached`: as this relay last had it, perhaps stale. */
-    void roster(List<Listed> lines, boolean whole, boolean cached, long now);
+    void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now);
 
-    void rosterFailed(long now);
+    void onRosterCallFailed(long now);
 
     /** An open connection that was passing through when this relay started. */
-    void takenOver(Association a, long backend, long now);
+    void onConnectionAdopted(Association a, long backend, long now);
 
-    void established(Association a, int dispatch, long took, long now);
+    void onConnectionEstablished(Association a, int dispatch, long took, long now);
 
-    void loadNote(Association a, double load, long now);
+    void onLoadReport(Association a, double load, long now);
 
-    void delayNote(long backend, long delay, long now);
+    void onDelayReport(long backend, long delay, long now);
 
-    void clientLeft(Association a, long now);
+    void onClientDisconnected(Association a, long now);
 
     /**
      * What it would keep beyond its process: at most so many values that changed since it was last asked. Others keep
      * nothing.
      */
-    default Kept changes(int most, long now) {
-        return Kept.NOTHING;
+    default LearnedState takeLearnedStateChanges(int most, long now) {
+        return LearnedState.EMPTY;
     }
 
     /**
      * What an earlier process kept, weighed by its age, after the list; `unseen`: any backend of the list may be cold.
      */
-    default void remember(Kept kept, boolean unseen, long now) {}
+    default void restoreLearnedState(LearnedState kept, boolean unseen, long now) {}
 }
--- a/core/src/main/java/ambertrestle/decide/Answer.java
+++ b/core/src/main/java/ambertrestle/decide/Decision.java
@@ -1,7 +1,7 @@
 package ambertrestle.decide;
 
 /** What is to happen with an association: plain value, made by the module. Times in nanoseconds. */
-public final class Answer {
+public final class Decision {
     /**
      * SEND to backend within time; WAIT until time; SHED, the client may come back after time; FORFEIT; or NOTHING: it
      * has its answer, or a dispatch is still out.
@@ -14,14 +14,14 @@
         NOTHING
     }
 
-    public static final Answer NOTHING = new Answer(Kind.NOTHING, 0, 0);
-    public static final Answer FORFEIT = new Answer(Kind.FORFEIT, 0, 0);
+    public static final Decision NOTHING = new Decision(Kind.NOTHING, 0, 0);
+    public static final Decision FORFEIT = new Decision(Kind.FORFEIT, 0, 0);
 
     public final Kind kind;
     public final long backend;
     public final long time;
 
-    public Answer(Kind kind, long backend, long time) {
+    public Decision(Kind kind, long backend, long time) {
         this.kind = kind;
         this.backend = backend;
         this.time = time;
--- a/core/src/main/java/ambertrestle/decide/Outcome.java
+++ b/core/src/main/java/ambertrestle/decide/DispatchOutcome.java
@@ -1,7 +1,7 @@
 package ambertrestle.decide;
 
 /** How a dispatch or a probe ended. */
-public enum Outcome {
+public enum DispatchOutcome {
     ERROR(false),
     DONE(false),
     FULL(true),
@@ -14,7 +14,7 @@
     /** It is known that the dispatch never ran. */
     public final boolean neverRan;
 
-    Outcome(boolean neverRan) {
+    DispatchOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 }
--- a/core/src/main/java/ambertrestle/decide/JobTicket.java
+++ b/core/src/main/java/ambertrestle/decide/Settings.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /** Reads values of the job ticket, which is a plain map; says by name what is missing or malformed. */
-final class JobTicket {
-    private JobTicket() {}
+final class Settings {
+    private Settings() {}
 
-    static double number(Map<String, String> jobTicket, String name) {
-        String value = word(jobTicket, name);
+    static double getDouble(Map<String, String> jobTicket, String name) {
+        String value = getString(jobTicket, name);
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
@@ -16,16 +16,16 @@
     }
 
     /** False where it is not there. */
-    static boolean flag(Map<String, String> jobTicket, String name) {
+    static boolean getBoolean(Map<String, String> jobTicket, String name) {
         return jobTicket.containsKey(name)
-                && word(jobTicket, name, "true", "false").equals("true");
+                && getString(jobTicket, name, "true", "false").equals("true");
     }
 
-    static double numberOr(Map<String, String> jobTicket, String name, double otherwise) {
-        return jobTicket.containsKey(name) ? number(jobTicket, name) : otherwise;
+    static double getDoubleOrDefault(Map<String, String> jobTicket, String name, double otherwise) {
+        return jobTicket.containsKey(name) ? getDouble(jobTicket, name) : otherwise;
     }
 
-    static String word(Map<String, String> jobTicket, String name, String... known) {
+    static String getString(Map<String, String> jobTicket, String name, String... known) {
         String value = jobTicket.get(name);
         if (value == null || known.length > 0 && !java.util.Arrays.asList(known).contains(value)) {
             throw new IllegalArgumentException(
@@ -35,7 +35,7 @@
     }
 
     /** Several numbers with commas between; none where it is not there. */
-    static double[] numbers(Map<String, String> jobTicket, String name) {
+    static double[] getDoubles(Map<String, String> jobTicket, String name) {
         String value = jobTicket.getOrDefault(name, "");
         try {
             return value.isEmpty()
--- a/core/src/main/java/ambertrestle/ticket/Ticket.java
+++ b/core/src/main/java/ambertrestle/settings/SettingsParser.java
@@ -1,12 +1,12 @@
-package ambertrestle.ticket;
+package ambertrestle.settings;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Turns the settings that both hosts are given into the job ticket: house names, times in nanoseconds. */
-public final class Ticket {
-    private static final Map<String, String> NAMES = Map.of(
+public final class SettingsParser {
+    private static final Map<String, String> INTERNAL_NAMES = Map.of(
             "repeat",
             "effect",
             "dedupScope",
@@ -21,12 +21,12 @@
             "effects",
             "streaming",
             "streams");
-    private static final Map<String, String> WORDS =
+    private static final Map<String, String> INTERNAL_EFFECTS =
             Map.of("idempotent", "retriable", "deduplicated", "fingerprinted", "at_most_once", "binding");
 
-    private Ticket() {}
+    private SettingsParser() {}
 
-    public static Map<String, String> read(byte[] text) {
+    public static Map<String, String> parse(byte[] text) {
         Map<String, String> ticket = new HashMap<>();
         String all = new String(text, StandardCharsets.UTF_8);
         for (int from = 0; from < all.length(); ) {
@@ -34,7 +34,7 @@
             end = end < 0 ? all.length() : end;
             int sign = all.indexOf('=', from);
             if (sign > from && sign < end) {
-                put(
+                putSetting(
                         ticket,
                         all.substring(from, sign),
                         all.substring(sign + 1, end).strip());
@@ -45,21 +45,21 @@
     }
 
     /** One setting by its path, as the operators name it. */
-    public static void put(Map<String, String> ticket, String name, String value) {
+    public static void putSetting(Map<String, String> ticket, String name, String value) {
         String house = name.startsWith("guarantees.") ? "rules." + name.substring(11) : name;
         String in = value;
         if (house.endsWith("Us")) {
             house = house.substring(0, house.length() - 2);
-            in = nanos(value);
+            in = microsToNanos(value);
         }
         int dot = house.lastIndexOf('.');
         String last = house.substring(dot + 1);
-        house = house.substring(0, dot + 1) + NAMES.getOrDefault(last, last);
-        ticket.put(house, last.equals("repeat") ? WORDS.getOrDefault(in, in) : in);
+        house = house.substring(0, dot + 1) + INTERNAL_NAMES.getOrDefault(last, last);
+        ticket.put(house, last.equals("repeat") ? INTERNAL_EFFECTS.getOrDefault(in, in) : in);
     }
 
     /** One number or several with commas between, from microseconds; what is no number stays as it is. */
-    private static String nanos(String value) {
+    private static String microsToNanos(String value) {
         StringBuilder out = new StringBuilder();
         for (int from = 0; from <= value.length(); ) {
             int end = value.indexOf(',', from);
--- a/lab/src/main/java/ambertrestle/lab/Lab.java
+++ b/lab/src/main/java/ambertrestle/lab/Lab.java
@@ -1,17 +1,17 @@
 package ambertrestle.lab;
 
+import ambertrestle.lab.loopback.CrashConsistencyCheck;
+import ambertrestle.lab.loopback.LoopbackTestbed;
+import ambertrestle.lab.loopback.RelayOverheadBenchmark;
 import ambertrestle.lab.policy.Policies;
-import ambertrestle.lab.report.Page;
-import ambertrestle.lab.report.Result;
+import ambertrestle.lab.report.HtmlReport;
+import ambertrestle.lab.report.RunResult;
 import ambertrestle.lab.report.Summary;
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.lab.standin.Cost;
-import ambertrestle.lab.standin.Kills;
-import ambertrestle.lab.standin.SocketWorld;
-import ambertrestle.lab.world.Meter;
-import ambertrestle.lab.world.Model;
-import ambertrestle.relay.life.RunSheet;
-import ambertrestle.relay.sheet.Sheet;
+import ambertrestle.lab.simulation.MetricsRecorder;
+import ambertrestle.lab.simulation.SimulatedTestbed;
+import ambertrestle.relay.server.RelayConfiguration;
+import ambertrestle.relay.toml.TomlDocument;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.io.InputStream;
@@ -50,12 +50,12 @@
         version = "ambertrestle-lab 0.2.0",
         description = "Plays scenarios of a fleet in trouble and reports what clients got.",
         subcommands = {
-            Lab.Demo.class,
-            Lab.Run.class,
-            Lab.Check.class,
-            Lab.Compare.class,
-            Lab.Costs.class,
-            Lab.KillWriters.class
+            Lab.DemoCommand.class,
+            Lab.RunCommand.class,
+            Lab.CheckCommand.class,
+            Lab.CompareCommand.class,
+            Lab.CostCommand.class,
+            Lab.KillsCommand.class
         })
 public final class Lab implements Callable<Integer> {
     @Spec
@@ -71,7 +71,7 @@
                 .setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler((e, line, result) -> {
                     // Danger: a stack trace for a file that is missing hides the one line that helps.
-                    if (e instanceof IOException || e instanceof Scenario.Faulty) {
+                    if (e instanceof IOException || e instanceof Scenario.InvalidScenarioException) {
                         line.getErr().println(e.getMessage());
                         return 1;
                     }
@@ -95,7 +95,7 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description = "Plays a scenario and writes summary.json and report.html. Exit code 3: starved of CPU.")
-    static final class Run implements Callable<Integer> {
+    static final class RunCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -130,19 +130,20 @@
                 arity = "1",
                 paramLabel = "true|false",
                 description = "Whether what a relay learned survives it; default: as the scenario says.")
-        private Boolean kept;
+        private Boolean persistsState;
 
         @Option(names = "--out", description = "Where the reports go; default: lab-out/NAME.")
         private Path out;
 
-        private final AtomicBoolean stop = new AtomicBoolean();
-        private final CountDownLatch written = new CountDownLatch(1);
+        private final AtomicBoolean stopRequested = new AtomicBoolean();
+        private final CountDownLatch reportsWritten = new CountDownLatch(1);
         private final ConcurrentHashMap<String, Integer> progress = new ConcurrentHashMap<>();
 
         @Override
         public Integer call() throws Exception {
-            Scenario scenario =
-                    kept == null ? Scenario.read(file) : Scenario.read(file).keeping(kept);
+            Scenario scenario = persistsState == null
+                    ? Scenario.read(file)
+                    : Scenario.read(file).withStatePersistence(persistsState);
             for (String policy : policies) {
                 if (!Policies.NAMES.contains(policy)) {
                     throw new ParameterException(
@@ -156,14 +157,15 @@
                         spec.commandLine(),
                         "--policy is for the model: on sockets the daemon decides as it is shipped");
             }
-            List<Long> all = seeds();
-            Thread hook = new Thread(this::interrupted, "interrupted");
+            List<Long> all = parseSeeds();
+            Thread hook = new Thread(this::awaitReportsOnInterrupt, "interrupted");
             Runtime.getRuntime().addShutdownHook(hook);
             long began = System.nanoTime();
-            List<Result> results = mode == Mode.MODEL ? play(scenario, all) : playOnSockets(scenario, all);
+            List<RunResult> results =
+                    mode == Mode.MODEL ? runAllInModel(scenario, all) : runAllOnSockets(scenario, all);
             Path dir = write(scenario, results);
-            written.countDown();
-            for (Result r : results) {
+            reportsWritten.countDown();
+            for (RunResult r : results) {
                 spec.commandLine()
                         .getOut()
                         .printf(
@@ -171,19 +173,19 @@
                                 "%-8s seed %-4d share %.4f  rules %s%s%n",
                                 r.policy(),
                                 r.seed(),
-                                r.share(),
-                                r.starved()
+                                r.benefitShare(),
+                                r.isCpuStarved()
                                         ? "not judged: STARVED of CPU, no result "
-                                                + r.figures()
+                                                + r.metrics()
                                                         .getJsonArray("costs")
                                                         .encode()
-                                        : r.rulesKept()
+                                        : r.invariantsHeld()
                                                 ? "kept"
                                                 : "BROKEN "
-                                                        + r.figures()
+                                                        + r.metrics()
                                                                 .getJsonObject("breaches")
                                                                 .encode(),
-                                r.whole() ? "" : "  (cut short)");
+                                r.isComplete() ? "" : "  (cut short)");
             }
             spec.commandLine()
                     .getOut()
@@ -194,26 +196,28 @@
                             (System.nanoTime() - began) / 1e9,
                             dir.resolve("report.html"));
             spec.commandLine().getOut().flush();
-            if (stop.get()) {
+            if (stopRequested.get()) {
                 return 130;
             }
             Runtime.getRuntime().removeShutdownHook(hook);
-            return results.stream().anyMatch(Result::starved)
+            return results.stream().anyMatch(RunResult::isCpuStarved)
                     ? 3
-                    : results.stream().filter(r -> r.policy().equals("module")).allMatch(Result::rulesKept) ? 0 : 1;
+                    : results.stream().filter(r -> r.policy().equals("module")).allMatch(RunResult::invariantsHeld)
+                            ? 0
+                            : 1;
         }
 
         /** Ctrl-C: what was run is still written. */
-        private void interrupted() {
-            stop.set(true);
+        private void awaitReportsOnInterrupt() {
+            stopRequested.set(true);
             try {
-                written.await(20, TimeUnit.SECONDS);
+                reportsWritten.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        private List<Long> seeds() {
+        private List<Long> parseSeeds() {
             if (!seeds.matches("\\d{1,15}(-\\d{1,15})?")) {
                 throw new ParameterException(
                         spec.commandLine(),
@@ -233,23 +237,24 @@
             return all;
         }
 
-        private List<Result> play(Scenario scenario, List<Long> all) throws InterruptedException, RunSheet.BadSheet {
+        private List<RunResult> runAllInModel(Scenario scenario, List<Long> all)
+                throws InterruptedException, RelayConfiguration.InvalidConfigurationException {
             ExecutorService pool = Executors.newFixedThreadPool(
                     jobs > 0 ? jobs : Runtime.getRuntime().availableProcessors());
-            List<Future<Result>> runs = new ArrayList<>();
+            List<Future<RunResult>> runs = new ArrayList<>();
             for (String policy : policies) {
                 for (long seed : all) {
-                    runs.add(pool.submit(() -> one(scenario, policy, seed)));
+                    runs.add(pool.submit(() -> runInModel(scenario, policy, seed)));
                 }
             }
             pool.shutdown();
             while (!pool.awaitTermination(500, TimeUnit.MILLISECONDS)) {
-                tell(scenario, runs.size());
+                printProgress(scenario, runs.size());
             }
-            List<Result> results = new ArrayList<>();
-            for (Future<Result> run : runs) {
+            List<RunResult> results = new ArrayList<>();
+            for (Future<RunResult> run : runs) {
                 try {
-                    Result result = run.get();
+                    RunResult result = run.get();
                     if (result != null) {
                         results.add(result);
                     }
@@ -261,30 +266,31 @@
         }
 
         /** One after the other: side by side they would take each other's cores. */
-        private List<Result> playOnSockets(Scenario scenario, List<Long> all) throws IOException, InterruptedException {
-            List<Result> results = new ArrayList<>();
+        private List<RunResult> runAllOnSockets(Scenario scenario, List<Long> all)
+                throws IOException, InterruptedException {
+            List<RunResult> results = new ArrayList<>();
             Path dir = out().resolve("relays");
             for (long seed : all) {
-                if (stop.get()) {
+                if (stopRequested.get()) {
                     break;
                 }
-                SocketWorld world = SocketWorld.make(scenario, seed, jar != null ? jar : besideThis(), dir);
+                LoopbackTestbed world = LoopbackTestbed.create(scenario, seed, jar != null ? jar : defaultJar(), dir);
                 boolean whole = world.run(second -> {
                     progress.put("module" + seed, second);
-                    tell(scenario, all.size());
-                    return !stop.get();
+                    printProgress(scenario, all.size());
+                    return !stopRequested.get();
                 });
-                results.add(Result.of(
+                results.add(RunResult.of(
                                 "module",
                                 seed,
                                 whole,
-                                world.meter,
-                                world.judge,
-                                world.happened(),
-                                world.account(),
-                                world.badSent(),
-                                world.badUnanswered())
-                        .withCosts(world.costs(), world.starved()));
+                                world.metrics,
+                                world.invariantChecker,
+                                world.eventLog(),
+                                world.connectionTotals(),
+                                world.badClientCount(),
+                                world.unansweredBadClients())
+                        .addResourceUsage(world.resourceUsage(), world.isCpuStarved()));
             }
             return results;
         }
@@ -295,29 +301,30 @@
                     : out;
         }
 
-        private Result one(Scenario scenario, String policy, long seed) throws RunSheet.BadSheet {
-            if (stop.get()) {
+        private RunResult runInModel(Scenario scenario, String policy, long seed)
+                throws RelayConfiguration.InvalidConfigurationException {
+            if (stopRequested.get()) {
                 return null;
             }
-            Model world = new Model(scenario, policy, seed);
+            SimulatedTestbed world = new SimulatedTestbed(scenario, policy, seed);
             boolean whole = world.run(second -> {
                 progress.put(policy + seed, second);
-                return !stop.get();
+                return !stopRequested.get();
             });
-            return Result.of(
+            return RunResult.of(
                     policy,
                     seed,
                     whole,
-                    world.meter,
-                    world.judge,
-                    world.happened(),
-                    world.account(),
-                    world.badSent(),
-                    world.badUnanswered());
+                    world.metrics,
+                    world.invariantChecker,
+                    world.eventLog(),
+                    world.connectionTotals(),
+                    world.badClientCount(),
+                    world.unansweredBadClients());
         }
 
-        private void tell(Scenario scenario, int runs) {
-            long seconds = scenario.end() / 1_000_000_000L;
+        private void printProgress(Scenario scenario, int runs) {
+            long seconds = scenario.endTime() / 1_000_000_000L;
             long done = progress.values().stream().mapToLong(Integer::longValue).sum();
             System.err.printf(
                     Locale.ROOT,
@@ -328,10 +335,10 @@
             System.err.flush();
         }
 
-        private Path write(Scenario scenario, List<Result> results) throws IOException {
+        private Path write(Scenario scenario, List<RunResult> results) throws IOException {
             System.err.print("\r");
             Path dir = out();
-            report(dir, scenario, mode, results);
+            writeReports(dir, scenario, mode, results);
             return dir;
         }
     }
@@ -340,7 +347,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description = "Reads scenarios and names every fault; plays nothing.")
-    static final class Check implements Callable<Integer> {
+    static final class CheckCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -359,9 +366,9 @@
                                     "%s: %d relays, %d backends, %d troubles: fine%n",
                                     file,
                                     s.relays().count(),
-                                    s.backends(),
+                                    s.backendCount(),
                                     s.troubles().size());
-                } catch (IOException | Scenario.Faulty e) {
+                } catch (IOException | Scenario.InvalidScenarioException e) {
                     spec.commandLine().getErr().println(e.getMessage());
                     code = 1;
                 }
@@ -374,19 +381,19 @@
             name = "compare",
             mixinStandardHelpOptions = true,
             description = "Sets two runs side by side and says which differences are more than the spread over seeds.")
-    static final class Compare implements Callable<Integer> {
+    static final class CompareCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "A", description = "The folder of a run, or its summary.json.")
-        private Path one;
+        private Path baselinePath;
 
         @Parameters(index = "1", paramLabel = "B", description = "The other's.")
-        private Path other;
+        private Path candidatePath;
 
         @Override
         public Integer call() throws IOException {
-            spec.commandLine().getOut().print(Summary.compare(one, other));
+            spec.commandLine().getOut().print(Summary.compare(baselinePath, candidatePath));
             spec.commandLine().getOut().flush();
             return 0;
         }
@@ -397,7 +404,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Kills processes in the middle of writing a relay's state, so many times, and looks at what each leaves.")
-    static final class KillWriters implements Callable<Integer> {
+    static final class KillsCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -434,7 +441,8 @@
                 throw new ParameterException(spec.commandLine(), "--interval is 100 at least, all others 1");
             }
             Path dir = Files.createTempDirectory("kills");
-            Kills.Found found = new Kills(dir, interval * 1_000_000L, backends, pins).run(kills, jobs, seed);
+            CrashConsistencyCheck.Report found =
+                    new CrashConsistencyCheck(dir, interval * 1_000_000L, backends, pins).run(kills, jobs, seed);
             spec.commandLine()
                     .getOut()
                     .printf(
@@ -443,33 +451,34 @@
                                     + "age of the newest at the kill: mean %d ms, most %d ms%n",
                             found.kills(),
                             interval,
-                            found.whole(),
-                            found.halves(),
-                            found.passedOver(),
-                            found.mean() / 1_000_000,
-                            found.oldest() / 1_000_000);
+                            found.intactFiles(),
+                            found.partialFiles(),
+                            found.skippedFiles(),
+                            found.meanAge() / 1_000_000,
+                            found.maxAge() / 1_000_000);
             spec.commandLine().getOut().flush();
-            found.faults().forEach(f -> spec.commandLine().getErr().println(f));
-            if (found.faults().isEmpty()) {
+            found.failures().forEach(f -> spec.commandLine().getErr().println(f));
+            if (found.failures().isEmpty()) {
                 Files.delete(dir);
             } else {
                 spec.commandLine().getErr().println("what they left is in " + dir);
             }
-            return found.faults().isEmpty() && found.whole() == kills ? 0 : 1;
+            return found.failures().isEmpty() && found.intactFiles() == kills ? 0 : 1;
         }
     }
 
     /** The one place where a run's reports are written. */
-    private static void report(Path dir, Scenario scenario, Mode mode, List<Result> results) throws IOException {
+    private static void writeReports(Path dir, Scenario scenario, Mode mode, List<RunResult> results)
+            throws IOException {
         Files.createDirectories(dir);
         JsonObject summary = Summary.of(scenario.name(), mode.name().toLowerCase(Locale.ROOT), results)
-                .put("says", scenario.says());
+                .put("says", scenario.description());
         Files.writeString(dir.resolve("summary.json"), summary.encodePrettily() + "\n");
-        Files.writeString(dir.resolve("report.html"), Page.of(summary, results));
+        Files.writeString(dir.resolve("report.html"), HtmlReport.render(summary, results));
     }
 
     /** The daemon's jar as the build leaves it beside this one. */
-    private static Path besideThis() {
+    private static Path defaultJar() {
         try {
             Path here = Path.of(Lab.class
                     .getProtectionDomain()
@@ -484,9 +493,10 @@
         }
     }
 
-    private static Scenario demo() throws IOException, Scenario.Faulty {
+    private static Scenario readDemoScenario() throws IOException, Scenario.InvalidScenarioException {
         try (InputStream in = Lab.class.getResourceAsStream("demo.toml")) {
-            return Scenario.read(Sheet.parse("demo.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8)));
+            return Scenario.read(
+                    TomlDocument.parse("demo.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8)));
         }
     }
 
@@ -495,7 +505,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Half a minute of two real relays on loopback with stand-ins round them: a drain, a dead backend, a dead relay.")
-    static final class Demo implements Callable<Integer> {
+    static final class DemoCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -511,9 +521,10 @@
         @Override
         public Integer call() throws Exception {
             PrintWriter to = spec.commandLine().getOut();
-            Scenario scenario = demo();
-            SocketWorld world = SocketWorld.make(scenario, 1, jar != null ? jar : besideThis(), out.resolve("relays"));
-            to.println(scenario.says() + " Each line is one second.");
+            Scenario scenario = readDemoScenario();
+            LoopbackTestbed world =
+                    LoopbackTestbed.create(scenario, 1, jar != null ? jar : defaultJar(), out.resolve("relays"));
+            to.println(scenario.description() + " Each line is one second.");
             to.printf(
                     "%4s %8s %8s %6s %6s %6s %6s %7s %6s %9s  %s%n",
                     "s",
@@ -535,42 +546,51 @@
                             Locale.ROOT,
                             "%4d %8.0f %8.0f %6.0f %6.0f %6.0f %6.0f %7.0f %6.0f %9.0f  %s%n",
                             i + 1,
-                            at(world, Meter.Series.OFFERED, i),
-                            at(world, Meter.Series.BENEFIT, i),
-                            at(world, Meter.Series.UP, i),
-                            at(world, Meter.Series.BUSY, i),
-                            at(world, Meter.Series.ERR, i),
-                            at(world, Meter.Series.MOVED, i),
-                            at(world, Meter.Series.BROKEN, i),
-                            at(world, Meter.Series.OPEN, i),
-                            at(world, Meter.Series.WORST_WAIT, i),
+                            valueAt(world, MetricsRecorder.Series.OFFERED_BENEFIT, i),
+                            valueAt(world, MetricsRecorder.Series.BENEFIT, i),
+                            valueAt(world, MetricsRecorder.Series.ESTABLISHED, i),
+                            valueAt(world, MetricsRecorder.Series.SHED, i),
+                            valueAt(world, MetricsRecorder.Series.FORFEITED, i),
+                            valueAt(world, MetricsRecorder.Series.MOVED, i),
+                            valueAt(world, MetricsRecorder.Series.BROKEN, i),
+                            valueAt(world, MetricsRecorder.Series.OPEN_CONNECTIONS, i),
+                            valueAt(world, MetricsRecorder.Series.MAX_QUEUE_DELAY, i),
                             String.join(
                                     ", ",
-                                    world.happened()
-                                            .subList(told[0], world.happened().size())));
-                    told[0] = world.happened().size();
+                                    world.eventLog()
+                                            .subList(told[0], world.eventLog().size())));
+                    told[0] = world.eventLog().size();
                 }
                 to.flush();
                 return true;
             });
-            Result r = Result.of("module", 1, whole, world.meter, world.judge, world.happened(), world.account(), 0, 0)
-                    .withCosts(world.costs(), world.starved());
-            report(out, scenario, Mode.SOCKETS, List.of(r));
-            to.printf("connections, warm-up included: %s%n", world.account());
+            RunResult r = RunResult.of(
+                            "module",
+                            1,
+                            whole,
+                            world.metrics,
+                            world.invariantChecker,
+                            world.eventLog(),
+                            world.connectionTotals(),
+                            0,
+                            0)
+                    .addResourceUsage(world.resourceUsage(), world.isCpuStarved());
+            writeReports(out, scenario, Mode.SOCKETS, List.of(r));
+            to.printf("connections, warm-up included: %s%n", world.connectionTotals());
             to.printf(
                     Locale.ROOT,
                     "share of the benefit offered: %.3f; rules %s%s%n%s%nreport: %s%n",
-                    r.share(),
-                    r.rulesKept() ? "kept" : "BROKEN",
-                    r.starved() ? " (this machine gave too little CPU: no result)" : "",
-                    String.join(System.lineSeparator(), world.costs()),
+                    r.benefitShare(),
+                    r.invariantsHeld() ? "kept" : "BROKEN",
+                    r.isCpuStarved() ? " (this machine gave too little CPU: no result)" : "",
+                    String.join(System.lineSeparator(), world.resourceUsage()),
                     out.resolve("report.html"));
             to.flush();
-            return r.starved() ? 3 : r.rulesKept() ? 0 : 1;
+            return r.isCpuStarved() ? 3 : r.invariantsHeld() ? 0 : 1;
         }
 
-        private static double at(SocketWorld world, Meter.Series s, int second) {
-            return world.meter.series(s)[second];
+        private static double valueAt(LoopbackTestbed world, MetricsRecorder.Series s, int second) {
+            return world.metrics.series(s)[second];
         }
     }
 
@@ -579,7 +599,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "What an opening and a line cost through one relay, and straight to the same stand-in backend.")
-    static final class Costs implements Callable<Integer> {
+    static final class CostCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -600,12 +620,12 @@
             if (opens < 4 || opens > 1_000_000 || lines < 0 || lines > 100_000) {
                 throw new ParameterException(spec.commandLine(), "--opens takes 4 to 1000000, --lines 0 to 100000");
             }
-            Scenario one = Scenario.read(Sheet.parse(
+            Scenario one = Scenario.read(TomlDocument.parse(
                     "cost.toml",
                     "name = \"cost\"\n[relays]\ncount = 1\n[[fleet]]\nname = \"s\"\ncount = 1\n"
                             + "[[use-case]]\nname = \"open\"\n"));
             Path dir = Files.createTempDirectory("ambertrestle-cost");
-            try (Cost cost = new Cost(one, jar != null ? jar : besideThis(), dir)) {
+            try (RelayOverheadBenchmark cost = new RelayOverheadBenchmark(one, jar != null ? jar : defaultJar(), dir)) {
                 cost.measure(opens, lines).forEach(spec.commandLine().getOut()::println);
             }
             spec.commandLine().getOut().flush();
--- a/lab/src/main/java/ambertrestle/lab/standin/BackendSockets.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/BackendServer.java
@@ -1,9 +1,9 @@
-package ambertrestle.lab.standin;
+package ambertrestle.lab.loopback;
 
-import ambertrestle.lab.world.BackLink;
-import ambertrestle.lab.world.BackendNode;
-import ambertrestle.lab.world.RelayEnd;
-import ambertrestle.relay.wire.FromBackend;
+import ambertrestle.lab.simulation.BackendConnection;
+import ambertrestle.lab.simulation.RelayInstance;
+import ambertrestle.lab.simulation.SimulatedBackend;
+import ambertrestle.relay.wire.BackendMessage;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -28,24 +28,26 @@
 /**
  * Owns the listening sockets of one stand-in backend, one for each relay, so that it knows who dials, and plays the
  * network between each pair: it can delay what passes, hold it all back, keep connections from coming up, reset them,
- * refuse them. What the backend does with a connection is the world's {@link BackendNode}, the same as in the model.
+ * refuse them. What the backend does with a connection is the world's {@link SimulatedBackend}, the same as in the
+ * model.
  */
-final class BackendSockets {
-    private static final String HOST = Daemon.HOST;
-    private static final int BACKLOG = 64, LONGEST = 4096;
+final class BackendServer {
+    private static final String HOST = RelayLauncher.HOST;
+    private static final int BACKLOG = 64, MAX_LINE_BYTES = 4096;
     /** Shorter delays than this are the loopback's own. */
-    private static final long LEAST_DELAY = 1_000_000L;
+    private static final long MIN_DELAY_NANOS = 1_000_000L;
 
     private final EventLoop loop;
-    private final SocketWorld world;
-    private final BackendNode node;
-    private final List<? extends RelayEnd> relays;
+    private final LoopbackTestbed world;
+    private final SimulatedBackend node;
+    private final List<? extends RelayInstance> relays;
     private final int[] ports;
     private final Channel[] servers;
     /** While a pair is cut off: connections that fill the backlog, so that the kernel drops every further SYN. */
     private final List<List<java.nio.channels.SocketChannel>> fillers = new ArrayList<>();
 
-    BackendSockets(EventLoop loop, SocketWorld world, BackendNode backend, List<? extends RelayEnd> relays) {
+    BackendServer(
+            EventLoop loop, LoopbackTestbed world, SimulatedBackend backend, List<? extends RelayInstance> relays) {
         this.loop = loop;
         this.world = world;
         this.relays = relays;
@@ -53,7 +55,7 @@
         ports = new int[relays.size()];
         servers = new Channel[relays.size()];
         relays.forEach(r -> fillers.add(new ArrayList<>()));
-        node.onFate(this::close, this::listen);
+        node.setLifecycleCallbacks(this::close, this::listen);
     }
 
     String address(int relay) {
@@ -77,7 +79,7 @@
                         protected void initChannel(SocketChannel channel) {
                             channel.pipeline()
                                     .addLast(
-                                            new LineBasedFrameDecoder(LONGEST),
+                                            new LineBasedFrameDecoder(MAX_LINE_BYTES),
                                             new Link(channel, relays.get(relay)).new Handler());
                         }
                     })
@@ -99,11 +101,11 @@
     private void close() {
         for (int i = 0; i < servers.length; i++) {
             servers[i].close();
-            unfill(i);
+            closeFillers(i);
         }
     }
 
-    private void unfill(int relay) {
+    private void closeFillers(int relay) {
         for (java.nio.channels.SocketChannel filler : fillers.get(relay)) {
             try {
                 filler.close();
@@ -115,7 +117,7 @@
     }
 
     /** Cut off, no connection from that relay comes up; healed, those that still try do. */
-    void cut(int relay, boolean off) {
+    void setPartitioned(int relay, boolean off) {
         servers[relay].config().setAutoRead(!off);
         try {
             for (int i = 0; off && i <= BACKLOG; i++) {
@@ -125,74 +127,74 @@
                 fillers.get(relay).add(filler);
             }
             if (!off) {
-                unfill(relay);
+                closeFillers(relay);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private final class Link extends BackLink {
+    private final class Link extends BackendConnection {
         private final Channel channel;
-        private final RelayEnd relay;
+        private final RelayInstance relay;
         private final long delay;
-        private boolean first = true;
+        private boolean isFirstLine = true;
 
-        Link(Channel channel, RelayEnd relay) {
+        Link(Channel channel, RelayInstance relay) {
             this.channel = channel;
             this.relay = relay;
-            long way = world.way(relay.number, node.number);
-            delay = way >= LEAST_DELAY ? way : 0;
+            long way = world.oneWayLatency(relay.number, node.number);
+            delay = way >= MIN_DELAY_NANOS ? way : 0;
         }
 
         /** Danger: while a partition holds, what the relay wrote is on its way and must not be acted on. */
-        private void later(Runnable thing) {
-            long at = world.passable(relay, node) + delay;
+        private void runOnDelivery(Runnable thing) {
+            long at = world.reachableAt(relay, node) + delay;
             if (at <= world.now()) {
                 thing.run();
             } else {
-                world.clock.at(at, thing);
+                world.scheduler.scheduleAt(at, thing);
             }
         }
 
-        private void heard(byte[] line) {
-            if (first) {
-                first = false;
-                world.sent(relay, node);
-                node.opened(this, line);
+        private void onLineReceived(byte[] line) {
+            if (isFirstLine) {
+                isFirstLine = false;
+                world.onDispatchSent(relay, node);
+                node.onOpenRequest(this, line);
             } else {
-                node.line(this);
+                node.onLine(this);
             }
             // Danger: what a partition held back may come after its connection's end, which nobody would tell again.
             if (!channel.isActive()) {
-                gone();
+                onDisconnected();
             }
         }
 
-        private void gone() {
-            if (run != null) {
-                run.ended();
+        private void onDisconnected() {
+            if (dispatch != null) {
+                dispatch.markEnded();
             }
-            node.closed(this);
+            node.onClosed(this);
         }
 
         @Override
-        protected RelayEnd relay() {
+        protected RelayInstance relay() {
             return relay;
         }
 
         @Override
-        protected void say(FromBackend line) {
-            later(() -> channel.writeAndFlush(Unpooled.wrappedBuffer(line.raw())));
+        protected void sendLine(BackendMessage line) {
+            runOnDelivery(() -> channel.writeAndFlush(Unpooled.wrappedBuffer(line.raw())));
         }
 
         @Override
-        protected void end() {
-            later(channel::close);
+        protected void doClose() {
+            runOnDelivery(channel::close);
         }
 
         @Override
-        protected void reset() {
+        protected void doReset() {
             if (channel.isOpen()) {
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
                 channel.close();
@@ -203,18 +205,18 @@
         private final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
             @Override
             public void channelActive(ChannelHandlerContext context) {
-                node.joined(Link.this);
+                node.onConnected(Link.this);
             }
 
             @Override
             protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
                 byte[] bytes = ByteBufUtil.getBytes(line);
-                later(() -> heard(bytes));
+                runOnDelivery(() -> onLineReceived(bytes));
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext context) {
-                gone();
+                onDisconnected();
             }
 
             @Override
--- a/lab/src/main/java/ambertrestle/lab/standin/Folders.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/Directories.java
@@ -1,4 +1,4 @@
-package ambertrestle.lab.standin;
+package ambertrestle.lab.loopback;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,11 +6,11 @@
 import java.util.stream.Stream;
 
 /** Folders with files in them and nothing deeper. */
-final class Folders {
-    private Folders() {}
+final class Directories {
+    private Directories() {}
 
     /** Makes it where it is not there. */
-    static Path empty(Path folder) throws IOException {
+    static Path createEmpty(Path folder) throws IOException {
         Files.createDirectories(folder);
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
--- a/lab/src/main/java/ambertrestle/lab/standin/Daemon.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayLauncher.java
@@ -1,4 +1,4 @@
-package ambertrestle.lab.standin;
+package ambertrestle.lab.loopback;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,10 +12,10 @@
  * Starts the daemon as it is shipped, on loopback, with its configuration and nothing else of this process's
  * environment.
  */
-final class Daemon {
+final class RelayLauncher {
     static final String HOST = "127.0.0.1";
 
-    private Daemon() {}
+    private RelayLauncher() {}
 
     static Process start(Path jar, Path configuration, Path log) throws IOException {
         return start(jar, configuration, null, log);
--- a/lab/src/main/java/ambertrestle/lab/standin/Cost.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayOverheadBenchmark.java
@@ -1,6 +1,6 @@
-package ambertrestle.lab.standin;
+package ambertrestle.lab.loopback;
 
-import ambertrestle.lab.scenario.RelayFile;
+import ambertrestle.lab.scenario.RelayConfigurationJson;
 import ambertrestle.lab.scenario.Scenario;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -30,16 +30,16 @@
  * What a relay costs: openings and lines through one relay as shipped, and straight to the same stand-in backend, in
  * turn, in one run. The client is one blocking thread, so each figure is of a relay with nothing else to do.
  */
-public final class Cost implements AutoCloseable {
-    private static final String HOST = Daemon.HOST;
-    private static final int LONGEST_WAIT_MILLIS = 10_000;
+public final class RelayOverheadBenchmark implements AutoCloseable {
+    private static final String HOST = RelayLauncher.HOST;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private final Vertx vertx = Vertx.vertx(
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
-    private final int backend;
-    private final int relay;
+    private final int backendPort;
+    private final int relayPort;
     private final Process process;
-    private long ids;
+    private long lastId;
     private final Histogram[] openings = {histogram(), histogram()};
     private final Histogram[] lines = {histogram(), histogram()};
 
@@ -47,9 +47,9 @@
         return new Histogram(60_000_000_000L, 3);
     }
 
-    public Cost(Scenario scenario, Path jar, Path dir) throws IOException, InterruptedException {
+    public RelayOverheadBenchmark(Scenario scenario, Path jar, Path dir) throws IOException, InterruptedException {
         try {
-            backend = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
+            backendPort = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
                     .connectHandler(s -> s.handler(RecordParser.newDelimited(
                             "\r\n",
                             line -> s.write(Buffer.buffer(
@@ -65,9 +65,9 @@
                     .put(
                             "endpoints",
                             new JsonArray()
-                                    .add(RelayFile.entry(
+                                    .add(RelayConfigurationJson.createRosterEntry(
                                             "s-1",
-                                            HOST + ":" + backend,
+                                            HOST + ":" + backendPort,
                                             scenario.fleets().get(0),
                                             "in_service",
                                             0)));
@@ -83,14 +83,15 @@
                     .toCompletableFuture()
                     .get(10, TimeUnit.SECONDS)
                     .actualPort();
-            relay = Daemon.freePort();
+            relayPort = RelayLauncher.freePort();
             Files.createDirectories(dir);
             Path file = dir.resolve("cost.json");
             Files.writeString(
                     file,
-                    RelayFile.make(scenario, "cost", HOST + ":" + relay, HOST + ":" + roster, 1, list)
+                    RelayConfigurationJson.create(
+                                    scenario, "cost", HOST + ":" + relayPort, HOST + ":" + roster, 1, list)
                             .encodePrettily());
-            process = Daemon.start(jar, file, dir.resolve("cost.log"));
+            process = RelayLauncher.start(jar, file, dir.resolve("cost.log"));
             awaitPong();
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the stand-ins could not listen: " + e, e);
@@ -99,9 +100,9 @@
 
     private void awaitPong() throws IOException, InterruptedException {
         for (int tries = 0; tries < 400; tries++) {
-            try (Socket s = dial(relay)) {
+            try (Socket s = connect(relayPort)) {
                 s.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
-                if (line(new BufferedInputStream(s.getInputStream())).equals("PONG")) {
+                if (readLine(new BufferedInputStream(s.getInputStream())).equals("PONG")) {
                     return;
                 }
             } catch (IOException e) {
@@ -111,14 +112,14 @@
         throw new IOException("the relay did not answer PING within 10 s; see cost.log");
     }
 
-    private static Socket dial(int port) throws IOException {
+    private static Socket connect(int port) throws IOException {
         Socket s = new Socket(HOST, port);
         s.setTcpNoDelay(true);
-        s.setSoTimeout(LONGEST_WAIT_MILLIS);
+        s.setSoTimeout(READ_TIMEOUT_MILLIS);
         return s;
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder out = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -129,15 +130,15 @@
         return out.toString().strip();
     }
 
-    private void one(int through, int each, boolean counts) throws IOException {
+    private void measureConnection(int through, int each, boolean counts) throws IOException {
         long began = System.nanoTime();
-        try (Socket s = dial(through == 1 ? relay : backend)) {
+        try (Socket s = connect(through == 1 ? relayPort : backendPort)) {
             InputStream in = new BufferedInputStream(s.getInputStream());
             s.getOutputStream()
-                    .write(("OPEN " + Long.toHexString(++ids) + " " + Long.toHexString(ids * 77)
+                    .write(("OPEN " + Long.toHexString(++lastId) + " " + Long.toHexString(lastId * 77)
                                     + " c=open,t=t,d=2000\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            String up = line(in);
+            String up = readLine(in);
             if (!up.startsWith("UP")) {
                 throw new IOException("an opening was answered " + up);
             }
@@ -147,7 +148,7 @@
             for (int i = 0; i < each; i++) {
                 long sent = System.nanoTime();
                 s.getOutputStream().write("L\r\n".getBytes(StandardCharsets.US_ASCII));
-                line(in);
+                readLine(in);
                 if (counts) {
                     lines[through].recordValue(System.nanoTime() - sent);
                 }
@@ -155,7 +156,7 @@
         }
     }
 
-    private long cpu() {
+    private long relayCpuNanos() {
         return process.info()
                 .totalCpuDuration()
                 .map(java.time.Duration::toNanos)
@@ -165,23 +166,23 @@
     /** `opens` of each kind, in turn, with `each` lines; the first fifth is warm-up. A table, one row a line. */
     public List<String> measure(int opens, int each) throws IOException {
         for (int i = 0; i < opens + opens / 4; i++) {
-            one(0, each, i >= opens / 4);
-            one(1, each, i >= opens / 4);
+            measureConnection(0, each, i >= opens / 4);
+            measureConnection(1, each, i >= opens / 4);
         }
-        long before = cpu();
+        long before = relayCpuNanos();
         for (int i = 0; i < opens; i++) {
-            one(1, 0, false);
+            measureConnection(1, 0, false);
         }
-        double open = (cpu() - before) / 1e3 / opens;
-        before = cpu();
-        one(1, opens, false);
-        double line = (cpu() - before) / 1e3 / opens - open / opens;
+        double open = (relayCpuNanos() - before) / 1e3 / opens;
+        before = relayCpuNanos();
+        measureConnection(1, opens, false);
+        double line = (relayCpuNanos() - before) / 1e3 / opens - open / opens;
         List<String> out = new ArrayList<>();
         out.add(String.format(Locale.ROOT, "%-28s %10s %10s %10s", "microseconds", "p50", "p99", "p99.9"));
-        row(out, "opening, straight", openings[0]);
-        row(out, "opening, through the relay", openings[1]);
-        row(out, "line, straight", lines[0]);
-        row(out, "line, through the relay", lines[1]);
+        appendRow(out, "opening, straight", openings[0]);
+        appendRow(out, "opening, through the relay", openings[1]);
+        appendRow(out, "line, straight", lines[0]);
+        appendRow(out, "line, through the relay", lines[1]);
         out.add(String.format(
                 Locale.ROOT,
                 "the relay's CPU: %.0f us an opening and its end, %.0f us a line and its answer",
@@ -190,7 +191,7 @@
         return out;
     }
 
-    private static void row(List<String> out, String name, Histogram h) {
+    private static void appendRow(List<String> out, String name, Histogram h) {
         out.add(String.format(
                 Locale.ROOT,
                 "%-28s %10.0f %10.0f %10.0f",
--- a/lab/src/main/java/ambertrestle/lab/standin/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -1,9 +1,9 @@
-package ambertrestle.lab.standin;
+package ambertrestle.lab.loopback;
 
-import ambertrestle.lab.scenario.RelayFile;
-import ambertrestle.lab.world.ClientEnd;
-import ambertrestle.lab.world.HeardRoster;
-import ambertrestle.lab.world.RelayEnd;
+import ambertrestle.lab.scenario.RelayConfigurationJson;
+import ambertrestle.lab.simulation.ClientEndpoint;
+import ambertrestle.lab.simulation.DeliveredRoster;
+import ambertrestle.lab.simulation.RelayInstance;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.parsetools.RecordParser;
@@ -16,118 +16,123 @@
 import java.util.concurrent.TimeUnit;
 
 /** Owns one relay as it is shipped: a process, its configuration file, its log, and the clients' sockets to it. */
-final class RelayProcess extends RelayEnd {
-    private static final String HOST = Daemon.HOST;
+final class RelayProcess extends RelayInstance {
+    private static final String HOST = RelayLauncher.HOST;
     private static final long MS = 1_000_000L;
 
-    private final SocketWorld place;
+    private final LoopbackTestbed testbed;
     private final Path jar;
     private final Path dir;
     private final int port;
-    final RosterServer roster;
-    private final Map<ClientEnd, NetSocket> clients = new HashMap<>();
-    private final HeardRoster heard = new HeardRoster();
+    final RosterServer rosterServer;
+    private final Map<ClientEndpoint, NetSocket> clients = new HashMap<>();
+    private final DeliveredRoster receivedRoster = new DeliveredRoster();
     private Process process;
-    private int life;
-    private long cpuBefore;
+    private int incarnation;
+    private long endedProcessesCpuNanos;
 
-    RelayProcess(SocketWorld place, int number, Path jar, Path dir) throws IOException {
+    RelayProcess(LoopbackTestbed place, int number, Path jar, Path dir) throws IOException {
         super(place, number);
-        this.place = place;
+        this.testbed = place;
         this.jar = jar;
         this.dir = dir;
-        port = Daemon.freePort();
-        roster = new RosterServer(
+        port = RelayLauncher.freePort();
+        rosterServer = new RosterServer(
                 place.vertx,
-                place.roster,
+                place.rosterService,
                 name -> place.address(name, number),
-                message -> heard.take(message, place.now()));
+                message -> receivedRoster.apply(message, place.now()));
     }
 
-    long drainTold(String backend) {
-        return heard.drainTold(backend);
+    long drainNotifiedAt(String backend) {
+        return receivedRoster.drainNotifiedAt(backend);
     }
 
     @Override
     protected void start(Runnable ready) {
-        life++;
-        if (heard.isEmpty()) {
-            heard.take(place.roster.whole(), world.now());
+        incarnation++;
+        if (receivedRoster.isUninitialized()) {
+            receivedRoster.apply(testbed.rosterService.fullRoster(), testbed.now());
         }
         try {
             Path file = dir.resolve(name + ".json");
             Files.writeString(
                     file,
-                    RelayFile.make(
-                                    place.scenario,
+                    RelayConfigurationJson.create(
+                                    testbed.scenario,
                                     name,
                                     HOST + ":" + port,
-                                    roster.address(),
-                                    place.seed * 1000 + number * 10L + life,
-                                    roster.encode(listed(life, heard)))
+                                    rosterServer.address(),
+                                    testbed.seed * 1000 + number * 10L + incarnation,
+                                    rosterServer.encode(startupRoster(incarnation, receivedRoster)))
                             .encodePrettily());
-            process = Daemon.start(
-                    jar, file, place.scenario.relays().kept() ? operator() : null, dir.resolve(name + ".log"));
-            if (life > 1) {
-                starts();
+            process = RelayLauncher.start(
+                    jar,
+                    file,
+                    testbed.scenario.relays().persistsState() ? writeOperatorFile() : null,
+                    dir.resolve(name + ".log"));
+            if (incarnation > 1) {
+                recordRestart();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        awaitPong(life, ready);
+        awaitPong(incarnation, ready);
     }
 
     /** Its operator file, and the folder that outlives its processes. */
-    private Path operator() throws IOException {
+    private Path writeOperatorFile() throws IOException {
         Path kept = dir.resolve(name + ".kept");
         // Danger: what an earlier run kept would be this run's past.
-        if (life == 1) {
-            Folders.empty(kept);
+        if (incarnation == 1) {
+            Directories.createEmpty(kept);
         }
         return Files.writeString(
                 dir.resolve(name + ".toml"),
                 "[durable]\nfolder = \"" + kept + "\"\ninterval = \""
-                        + place.scenario.relays().interval() / MS + "ms\"\n");
+                        + testbed.scenario.relays().persistInterval() / MS + "ms\"\n");
     }
 
     /** As the front does: it is taken in once it answers PING. */
     private void awaitPong(int mine, Runnable ready) {
-        if (life != mine || !process.isAlive()) {
-            place.relayEnded(this, process.isAlive());
+        if (incarnation != mine || !process.isAlive()) {
+            testbed.onRelayExited(this, process.isAlive());
             return;
         }
-        place.net
+        testbed.netClient
                 .connect(port, HOST)
                 .onSuccess(socket -> {
                     socket.handler(answer -> {
-                                if (life == mine && !up && answer.toString().startsWith("PONG")) {
-                                    up = true;
+                                if (incarnation == mine
+                                        && !running
+                                        && answer.toString().startsWith("PONG")) {
+                                    running = true;
                                     ready.run();
                                 }
                                 socket.close();
                             })
                             .exceptionHandler(e -> {})
                             .closeHandler(v -> {
-                                if (life == mine && !up) {
-                                    place.vertx.setTimer(25, t -> awaitPong(mine, ready));
+                                if (incarnation == mine && !running) {
+                                    testbed.vertx.setTimer(25, t -> awaitPong(mine, ready));
                                 }
                             });
                     socket.write("PING\r\n");
                 })
-                .onFailure(e -> place.vertx.setTimer(25, t -> awaitPong(mine, ready)));
+                .onFailure(e -> testbed.vertx.setTimer(25, t -> awaitPong(mine, ready)));
     }
 
     @Override
     protected void kill() {
-        up = false;
-        life++;
+        running = false;
+        incarnation++;
         end(true);
     }
 
     /** Only the process that was started here. */
     private void end(boolean outright) {
         if (process != null && process.isAlive()) {
-            cpuBefore += cpuNow();
+            endedProcessesCpuNanos += currentProcessCpuNanos();
             if (outright) {
                 process.destroyForcibly();
             } else {
@@ -137,32 +142,32 @@
     }
 
     @Override
-    protected void tellToStop() {
-        int mine = life;
+    protected void requestStop() {
+        int mine = incarnation;
         end(false);
-        world.clock.after(4_000 * MS, () -> {
-            if (life == mine) {
+        testbed.scheduler.scheduleAfter(4_000 * MS, () -> {
+            if (incarnation == mine) {
                 kill();
             }
         });
     }
 
     /** After {@link #kill}: returns once the process is gone. */
-    void awaitEnd() throws InterruptedException {
+    void awaitExit() throws InterruptedException {
         if (process != null) {
             process.waitFor(5, TimeUnit.SECONDS);
         }
     }
 
-    private long cpuNow() {
+    private long currentProcessCpuNanos() {
         return process == null
                 ? 0
                 : process.info().totalCpuDuration().map(d -> d.toNanos()).orElse(0L);
     }
 
     /** CPU of all its processes, in nanoseconds. */
-    long cpu() {
-        return cpuBefore + (process != null && process.isAlive() ? cpuNow() : 0);
+    long totalCpuNanos() {
+        return endedProcessesCpuNanos + (process != null && process.isAlive() ? currentProcessCpuNanos() : 0);
     }
 
     /** Resident memory now, in kilobytes; -1 where this machine does not tell. */
@@ -181,31 +186,31 @@
     // ---- clients
 
     @Override
-    protected void connect(ClientEnd client) {
-        int mine = life;
-        place.net.connect(port, HOST).onFailure(e -> client.refused()).onSuccess(socket -> {
+    protected void connect(ClientEndpoint client) {
+        int mine = incarnation;
+        testbed.netClient.connect(port, HOST).onFailure(e -> client.onRefused()).onSuccess(socket -> {
             clients.put(client, socket);
             boolean[] reset = new boolean[1];
             RecordParser lines = RecordParser.newDelimited(
-                    "\r\n", line -> client.said(line.appendString("\r\n").getBytes()));
+                    "\r\n", line -> client.onLine(line.appendString("\r\n").getBytes()));
             socket.handler(lines).exceptionHandler(e -> reset[0] = true).closeHandler(v -> {
                 if (clients.remove(client) == null) {
                     return;
                 }
                 // Danger: for some milliseconds after SIGKILL the dying process's port still takes connections, and
                 // then resets them.
-                if (life != mine || !up) {
-                    client.relayDied();
+                if (incarnation != mine || !running) {
+                    client.onRelayKilled();
                 } else {
-                    client.ended(reset[0]);
+                    client.onClosed(reset[0]);
                 }
             });
-            client.accepted();
+            client.onAccepted();
         });
     }
 
     @Override
-    protected void send(ClientEnd client, byte[] raw) {
+    protected void send(ClientEndpoint client, byte[] raw) {
         NetSocket socket = clients.get(client);
         if (socket != null) {
             socket.write(Buffer.buffer(raw));
@@ -213,7 +218,7 @@
     }
 
     @Override
-    protected void end(ClientEnd client) {
+    protected void end(ClientEndpoint client) {
         NetSocket socket = clients.remove(client);
         if (socket != null) {
             socket.close();
--- a/lab/src/main/java/ambertrestle/lab/report/Page.java
+++ b/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
@@ -1,6 +1,6 @@
 package ambertrestle.lab.report;
 
-import ambertrestle.lab.world.Meter.Series;
+import ambertrestle.lab.simulation.MetricsRecorder.Series;
 import io.vertx.core.json.JsonObject;
 import java.awt.Color;
 import java.io.IOException;
@@ -17,66 +17,75 @@
 /**
  * One page of HTML that needs nothing beside it: a table of the figures, and plots a second with the troubles drawn in.
  */
-public final class Page {
+public final class HtmlReport {
     private record Plot(String title, String unit, List<Series> series) {}
 
     private static final List<Plot> PLOTS = List.of(
-            new Plot("Benefit", "a second", List.of(Series.OFFERED, Series.BENEFIT)),
+            new Plot("Benefit", "a second", List.of(Series.OFFERED_BENEFIT, Series.BENEFIT)),
             new Plot(
                     "Answers by kind",
                     "a second",
-                    List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.REFUSED)),
+                    List.of(Series.ESTABLISHED, Series.SHED, Series.FORFEITED, Series.UNANSWERED, Series.REFUSED)),
             new Plot(
                     "Opens, reconnects and dispatches",
                     "a second",
-                    List.of(Series.OPENS, Series.RETURNS, Series.DISPATCHES)),
-            new Plot("Dispatches to backends that are cold", "a second", List.of(Series.TO_FRESH)),
+                    List.of(Series.OPENS, Series.RECONNECTS, Series.DISPATCHES)),
+            new Plot("Dispatches to backends that are cold", "a second", List.of(Series.DISPATCHES_TO_COLD_BACKENDS)),
             new Plot("Ends of open connections", "a second", List.of(Series.DONE, Series.MOVED, Series.BROKEN)),
-            new Plot("Open at backends, and in flight", "connections", List.of(Series.OPEN, Series.WAITING)),
-            new Plot("Load at backends by what is open there", "% of speed", List.of(Series.BUSIEST, Series.MEAN_BUSY)),
-            new Plot("Queues at backends", "ms", List.of(Series.WORST_WAIT, Series.MEAN_WAIT)),
+            new Plot(
+                    "Open at backends, and in flight",
+                    "connections",
+                    List.of(Series.OPEN_CONNECTIONS, Series.AWAITING_ANSWER)),
+            new Plot(
+                    "Load at backends by what is open there",
+                    "% of speed",
+                    List.of(Series.MAX_UTILIZATION, Series.MEAN_UTILIZATION)),
+            new Plot("Queues at backends", "ms", List.of(Series.MAX_QUEUE_DELAY, Series.MEAN_QUEUE_DELAY)),
             new Plot("Lines", "a second", List.of(Series.LINES, Series.LATE_LINES)));
 
-    private Page() {}
+    private HtmlReport() {}
 
-    public static String of(JsonObject summary, List<Result> results) throws IOException {
+    public static String render(JsonObject summary, List<RunResult> results) throws IOException {
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-                .append(text(summary.getString("scenario")))
+                .append(escapeHtml(summary.getString("scenario")))
                 .append("</title><style>body{font:15px sans-serif;margin:2em;max-width:1100px}"
                         + "table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:3px 9px;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}.broken{color:#b00}</style></head><body><h1>")
-                .append(text(summary.getString("scenario")))
+                .append(escapeHtml(summary.getString("scenario")))
                 .append("</h1><p>")
-                .append(text(summary.getString("says", "")))
+                .append(escapeHtml(summary.getString("says", "")))
                 .append("</p><p>Played as: ")
-                .append(text(summary.getString("mode")))
+                .append(escapeHtml(summary.getString("mode")))
                 .append("</p>");
-        table(page, summary, results);
-        for (Result r : firstOfEach(results)) {
+        appendResultsTable(page, summary, results);
+        for (RunResult r : firstResultPerPolicy(results)) {
             page.append("<h2>")
-                    .append(text(r.policy()))
+                    .append(escapeHtml(r.policy()))
                     .append(", seed ")
                     .append(r.seed())
                     .append("</h2><ul>");
-            r.happened().forEach(line -> page.append("<li>").append(text(line)).append("</li>"));
+            r.eventLog()
+                    .forEach(
+                            line -> page.append("<li>").append(escapeHtml(line)).append("</li>"));
             page.append("</ul>");
-            for (int i = 0; i < r.figures().getJsonArray("first breaches").size(); i++) {
+            for (int i = 0; i < r.metrics().getJsonArray("first breaches").size(); i++) {
                 page.append("<p class=\"broken\">")
-                        .append(text(r.figures().getJsonArray("first breaches").getString(i)))
+                        .append(escapeHtml(
+                                r.metrics().getJsonArray("first breaches").getString(i)))
                         .append("</p>");
             }
             for (Plot plot : PLOTS) {
                 page.append("<p><img alt=\"")
                         .append(plot.title)
                         .append("\" src=\"data:image/png;base64,")
-                        .append(Base64.getEncoder().encodeToString(png(plot, r)))
+                        .append(Base64.getEncoder().encodeToString(renderPng(plot, r)))
                         .append("\"></p>");
             }
         }
         return page.append("</body></html>\n").toString();
     }
 
-    private static List<Result> firstOfEach(List<Result> results) {
+    private static List<RunResult> firstResultPerPolicy(List<RunResult> results) {
         return results.stream()
                 .filter(r -> results.stream()
                                 .filter(o -> o.policy().equals(r.policy()))
@@ -86,24 +95,30 @@
                 .toList();
     }
 
-    private static void table(StringBuilder page, JsonObject summary, List<Result> results) {
+    private static void appendResultsTable(StringBuilder page, JsonObject summary, List<RunResult> results) {
         page.append(
                 "<table><tr><th>policy</th><th>seed</th><th>share of benefit</th><th>rules</th><th>up</th><th>shed</th>"
                         + "<th>forfeited</th><th>no answer</th><th>moved</th><th>broken</th><th>opening p50, p99 ms</th><th>line p50, p99 ms</th></tr>");
-        for (Result r : results) {
-            JsonObject f = r.figures();
+        for (RunResult r : results) {
+            JsonObject f = r.metrics();
             JsonObject answers = f.getJsonObject("answers");
             page.append("<tr><td>")
-                    .append(text(r.policy()))
+                    .append(escapeHtml(r.policy()))
                     .append("</td><td>")
                     .append(r.seed())
                     .append("</td><td>")
-                    .append(String.format(Locale.ROOT, "%.4f", r.share()))
-                    .append(r.whole() ? "" : " (cut short)")
-                    .append(r.starved() ? " (starved of CPU: no result)" : "")
-                    .append(r.rulesKept() ? "</td><td>kept" : "</td><td class=\"broken\">broken");
-            for (Series s : List.of(Series.UP, Series.BUSY, Series.ERR, Series.UNHEARD, Series.MOVED, Series.BROKEN)) {
-                page.append("</td><td>").append(answers.getLong(s.says));
+                    .append(String.format(Locale.ROOT, "%.4f", r.benefitShare()))
+                    .append(r.isComplete() ? "" : " (cut short)")
+                    .append(r.isCpuStarved() ? " (starved of CPU: no result)" : "")
+                    .append(r.invariantsHeld() ? "</td><td>kept" : "</td><td class=\"broken\">broken");
+            for (Series s : List.of(
+                    Series.ESTABLISHED,
+                    Series.SHED,
+                    Series.FORFEITED,
+                    Series.UNANSWERED,
+                    Series.MOVED,
+                    Series.BROKEN)) {
+                page.append("</td><td>").append(answers.getLong(s.label));
             }
             for (String h : List.of("opening, ms", "line, ms")) {
                 page.append("</td><td>")
@@ -116,7 +131,7 @@
         page.append("</table>");
     }
 
-    private static byte[] png(Plot plot, Result r) throws IOException {
+    private static byte[] renderPng(Plot plot, RunResult r) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1000)
                 .height(260)
@@ -135,16 +150,16 @@
             for (int i = 0; i < seconds.length; i++) {
                 seconds[i] = i + 0.5;
             }
-            chart.addSeries(s.says, seconds, values).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(s.label, seconds, values).setMarker(SeriesMarkers.NONE);
         }
-        for (String line : r.happened()) {
+        for (String line : r.eventLog()) {
             chart.addAnnotation(
                     new AnnotationLine(Double.parseDouble(line.substring(0, line.indexOf(' '))), true, false));
         }
         return BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static String text(String plain) {
+    private static String escapeHtml(String plain) {
         return plain == null
                 ? ""
                 : plain.replace("&", "&amp;")
--- a/lab/src/main/java/ambertrestle/lab/report/Summary.java
+++ b/lab/src/main/java/ambertrestle/lab/report/Summary.java
@@ -13,23 +13,23 @@
 /** All runs of one scenario: the figures of each, and of each policy over its seeds. */
 public final class Summary {
     /** Student's t for 95%, two-sided, by degrees of freedom from 1 on; beyond the last about two. */
-    private static final double[] T = {
+    private static final double[] STUDENT_T_95 = {
         12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
         2.110, 2.101, 2.093, 2.086
     };
 
     private Summary() {}
 
-    public static JsonObject of(String scenario, String mode, List<Result> all) {
-        List<Result> results = all.stream().filter(r -> !r.starved()).toList();
+    public static JsonObject of(String scenario, String mode, List<RunResult> all) {
+        List<RunResult> results = all.stream().filter(r -> !r.isCpuStarved()).toList();
         JsonObject policies = new JsonObject();
-        Map<String, List<Double>> shares = shares(results);
+        Map<String, List<Double>> shares = sharesByPolicy(results);
         shares.forEach((policy, list) -> policies.put(
                 policy,
                 new JsonObject()
                         .put("seeds", list.size())
-                        .put("share, mean", Result.round(mean(list)))
-                        .put("share, standard deviation", Result.round(deviation(list)))
+                        .put("share, mean", RunResult.roundToFourDecimals(mean(list)))
+                        .put("share, standard deviation", RunResult.roundToFourDecimals(standardDeviation(list)))
                         .put(
                                 "share, least",
                                 list.stream().mapToDouble(x -> x).min().orElse(0))
@@ -40,17 +40,17 @@
                                 "rules kept",
                                 results.stream()
                                         .filter(r -> r.policy().equals(policy))
-                                        .allMatch(Result::rulesKept))));
+                                        .allMatch(RunResult::invariantsHeld))));
         double oracle = mean(shares.getOrDefault("oracle", List.of()));
         double random = mean(shares.getOrDefault("random", List.of()));
         if (oracle > 0) {
             shares.forEach((policy, list) -> {
-                JsonObject figures =
-                        policies.getJsonObject(policy).put("of the oracle's", Result.round(mean(list) / oracle));
+                JsonObject figures = policies.getJsonObject(policy)
+                        .put("of the oracle's", RunResult.roundToFourDecimals(mean(list) / oracle));
                 if (random > 0 && oracle - random > 0.001) {
                     figures.put(
                             "between random (0) and the oracle (1)",
-                            Result.round((mean(list) - random) / (oracle - random)));
+                            RunResult.roundToFourDecimals((mean(list) - random) / (oracle - random)));
                 }
             });
         }
@@ -58,13 +58,13 @@
                 .put("scenario", scenario)
                 .put("mode", mode)
                 .put("policies", policies)
-                .put("runs", new JsonArray(all.stream().map(Result::figures).toList()));
+                .put("runs", new JsonArray(all.stream().map(RunResult::metrics).toList()));
     }
 
-    private static Map<String, List<Double>> shares(List<Result> results) {
+    private static Map<String, List<Double>> sharesByPolicy(List<RunResult> results) {
         Map<String, List<Double>> shares = new LinkedHashMap<>();
         results.forEach(
-                r -> shares.computeIfAbsent(r.policy(), p -> new ArrayList<>()).add(r.share()));
+                r -> shares.computeIfAbsent(r.policy(), p -> new ArrayList<>()).add(r.benefitShare()));
         return shares;
     }
 
@@ -72,7 +72,7 @@
         return values.stream().mapToDouble(x -> x).average().orElse(0);
     }
 
-    static double deviation(List<Double> values) {
+    static double standardDeviation(List<Double> values) {
         double mean = mean(values);
         return values.size() < 2
                 ? 0
@@ -99,10 +99,10 @@
                                 + System.lineSeparator());
         for (String policy : a.getJsonObject("policies").fieldNames()) {
             if (b.getJsonObject("policies").containsKey(policy)) {
-                Map<Long, Double> x = bySeed(a, policy);
-                Map<Long, Double> y = bySeed(b, policy);
+                Map<Long, Double> x = sharesBySeed(a, policy);
+                Map<Long, Double> y = sharesBySeed(b, policy);
                 double difference = mean(List.copyOf(y.values())) - mean(List.copyOf(x.values()));
-                double within = within(x, y);
+                double within = confidenceHalfWidth(x, y);
                 out.append(String.format(
                         java.util.Locale.ROOT,
                         "%-10s %8.4f %8.4f %+9.4f %9s  %s%n",
@@ -136,7 +136,7 @@
         }
     }
 
-    private static Map<Long, Double> bySeed(JsonObject summary, String policy) {
+    private static Map<Long, Double> sharesBySeed(JsonObject summary, String policy) {
         Map<Long, Double> shares = new LinkedHashMap<>();
         JsonArray runs = summary.getJsonArray("runs");
         for (int i = 0; i < runs.size(); i++) {
@@ -149,21 +149,23 @@
     }
 
     /** Half of the 95% interval of the difference; below 0 where it cannot be known. */
-    private static double within(Map<Long, Double> x, Map<Long, Double> y) {
+    private static double confidenceHalfWidth(Map<Long, Double> x, Map<Long, Double> y) {
         if (x.size() < 2 || y.size() < 2) {
             return -1;
         }
         if (x.keySet().equals(y.keySet())) {
             List<Double> differences =
                     x.keySet().stream().map(s -> y.get(s) - x.get(s)).toList();
-            return t(differences.size() - 1) * deviation(differences) / StrictMath.sqrt(differences.size());
+            return studentT(differences.size() - 1)
+                    * standardDeviation(differences)
+                    / StrictMath.sqrt(differences.size());
         }
-        double vx = deviation(List.copyOf(x.values()));
-        double vy = deviation(List.copyOf(y.values()));
-        return t(Math.min(x.size(), y.size()) - 1) * StrictMath.sqrt(vx * vx / x.size() + vy * vy / y.size());
+        double vx = standardDeviation(List.copyOf(x.values()));
+        double vy = standardDeviation(List.copyOf(y.values()));
+        return studentT(Math.min(x.size(), y.size()) - 1) * StrictMath.sqrt(vx * vx / x.size() + vy * vy / y.size());
     }
 
-    private static double t(int freedom) {
-        return freedom <= T.length ? T[freedom - 1] : 2;
+    private static double studentT(int freedom) {
+        return freedom <= STUDENT_T_95.length ? STUDENT_T_95[freedom - 1] : 2;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
@@ -1,6 +1,6 @@
 package ambertrestle.lab.scenario;
 
-import ambertrestle.relay.sheet.Sheet;
+import ambertrestle.relay.toml.TomlDocument;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -11,78 +11,91 @@
 /** What one run plays: plain values, read and checked here alone. Times in whole nanoseconds, from the run's start. */
 public record Scenario(
         String name,
-        String says,
+        String description,
         long warmUp,
-        long length,
-        long countFrom,
+        long duration,
+        long measurementStart,
         Relays relays,
         Network network,
         RosterService roster,
         List<Fleet> fleets,
-        List<Work> works,
+        List<Workload> workloads,
         Groups groups,
         Clients clients,
         Rules rules,
-        Store store,
+        SharedStore store,
         List<Trouble> troubles) {
     /**
      * `notice`: the front sends on to a relay that is gone for so long. `kept`: what a relay learned survives it, no
      * older than `interval`; `known`: the list that a relay is started again with.
      */
-    public record Relays(int count, long notice, int sockets, boolean kept, long interval, Known known) {
-        public Relays keeping(boolean on) {
-            return new Relays(count, notice, sockets, on, interval, known);
+    public record Relays(
+            int count,
+            long failureDetectionDelay,
+            int maxSockets,
+            boolean persistsState,
+            long persistInterval,
+            RestartRoster restartRoster) {
+        public Relays withStatePersistence(boolean on) {
+            return new Relays(count, failureDetectionDelay, maxSockets, on, persistInterval, restartRoster);
         }
     }
 
     /** As the relay last had it; as it was before the run; none. */
-    public enum Known {
+    public enum RestartRoster {
         LAST,
         FIRST,
         NONE
     }
 
     /** How a roster service that is down fails, on sockets; in the model all four are calls that fail. */
-    public enum Down {
+    public enum RosterFailureMode {
         REFUSES,
         HANGS,
         ANSWERS_503,
         HALF_A_LINE
     }
 
-    public record Network(long least, long most) {}
+    public record Network(long minLatency, long maxLatency) {}
 
     /**
      * `lag`: from a change to its telling; `notice`: how long a backend is dead before the service lists it as gone.
      */
-    public record RosterService(long lag, long notice) {}
+    public record RosterService(long propagationDelay, long failureDetectionDelay) {}
 
     /**
      * Backends alike. `speed`: work done in a second, in seconds; `weight`: as listed; `slots`: connections held at
      * most.
      */
-    public record Fleet(String name, int count, double weight, double speed, String zone, int slots, boolean cold) {}
+    public record Fleet(
+            String name,
+            int count,
+            double weight,
+            double speed,
+            String zone,
+            int maxConnections,
+            boolean startsInSlowStart) {}
 
     /**
      * A use case. `rate`: arrivals a second over all relays; `standing`: opened in the warm-up to last the run; `life`:
      * mean time open; `setUp` and `line`: work of one opening and of one line; `every`: a client's lines; `benefit`: of
      * an opening in goal time, `lineBenefit`: of a line answered in `lineGoal`.
      */
-    public record Work(
+    public record Workload(
             String name,
             Effect effect,
-            String scope,
-            long window,
-            long goal,
+            String deduplicationScope,
+            long deduplicationWindow,
+            long goalTime,
             long cutOff,
-            double rate,
-            int standing,
-            long life,
-            long setUp,
-            long line,
-            long every,
-            long lineGoal,
-            double benefit,
+            double arrivalRate,
+            int longLivedConnections,
+            long meanLifetime,
+            long setUpWork,
+            long lineWork,
+            long lineInterval,
+            long lineGoalTime,
+            double openingBenefit,
             double lineBenefit) {}
 
     public enum Effect {
@@ -92,30 +105,37 @@
     }
 
     /** `count` 0: no groups. `skew`: 0 all alike, 1 Zipf's. `work`: what holding a group costs a backend, a second. */
-    public record Groups(int count, double skew, long work) {}
+    public record Groups(int count, double skew, long workPerSecond) {}
 
     /**
      * `retries`: how often a client that was shed, or heard nothing, asks again; `backOff`: after how long, doubling.
      */
-    public record Clients(int retries, long backOff, boolean returns, long returnWithin) {}
+    public record Clients(int maxRetries, long initialBackoff, boolean reconnects, long maxReconnectDelay) {}
 
     public record Rules(
             long drainGrace,
-            double coldFrom,
-            long cold,
-            double fallMultiple,
-            long fall,
-            int dispatches,
-            long retryAfter) {}
+            double slowStartInitialFactor,
+            long slowStartDuration,
+            double slowStartBurstMultiple,
+            long slowStartBurstWindow,
+            int maxDispatches,
+            long maxRetryAfter) {}
 
     /** What all set-ups share; `work` 0: none. */
-    public record Store(long work, double speed) {}
+    public record SharedStore(long workPerSetUp, double speed) {}
 
     /** `backends` and `relays`: how many it strikes; `at` from the end of the warm-up on. */
     public record Trouble(
-            Kind kind, long at, long lasts, int backends, int relays, double factor, double rate, Down how) {}
+            TroubleKind kind,
+            long startOffset,
+            long duration,
+            int backendCount,
+            int relayCount,
+            double factor,
+            double badClientRate,
+            RosterFailureMode rosterFailureMode) {}
 
-    public enum Kind {
+    public enum TroubleKind {
         KILL,
         HANG,
         SLOW,
@@ -132,11 +152,11 @@
         BURST,
         BAD_CLIENTS;
 
-        public String word() {
+        public String tomlName() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
 
-        boolean strikesBackends() {
+        boolean affectsBackends() {
             return this == KILL
                     || this == HANG
                     || this == SLOW
@@ -146,7 +166,7 @@
                     || this == PARTITION;
         }
 
-        boolean strikesRelays() {
+        boolean affectsRelays() {
             return this == RELAY_KILL || this == RELAY_RESTART || this == PARTITION;
         }
 
@@ -156,10 +176,10 @@
     }
 
     /** The scenario is faulty: one line a fault, each with file, line and key. */
-    public static final class Faulty extends Exception {
+    public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Faulty(List<Sheet.Fault> faults) {
+        InvalidScenarioException(List<TomlDocument.Fault> faults) {
             super(String.join(
                     System.lineSeparator(),
                     faults.stream().map(Object::toString).toList()));
@@ -167,18 +187,18 @@
     }
 
     /** The same with what relays learn kept, or not. */
-    public Scenario keeping(boolean on) {
+    public Scenario withStatePersistence(boolean on) {
         return new Scenario(
                 name,
-                says,
+                description,
                 warmUp,
-                length,
-                countFrom,
-                relays.keeping(on),
+                duration,
+                measurementStart,
+                relays.withStatePersistence(on),
                 network,
                 roster,
                 fleets,
-                works,
+                workloads,
                 groups,
                 clients,
                 rules,
@@ -186,186 +206,194 @@
                 troubles);
     }
 
-    public int backends() {
+    public int backendCount() {
         return fleets.stream().mapToInt(Fleet::count).sum();
     }
 
-    public long end() {
-        return warmUp + length;
+    public long endTime() {
+        return warmUp + duration;
     }
 
-    public static Scenario read(Path path) throws IOException, Faulty {
-        return read(Sheet.read(path));
+    public static Scenario read(Path path) throws IOException, InvalidScenarioException {
+        return read(TomlDocument.read(path));
     }
 
-    public static Scenario read(Sheet sheet) throws Faulty {
-        Sheet.Part top = sheet.top();
-        String name = top.text("name", null);
-        String says = top.text("says", "");
-        long warmUp = top.time("warm-up", "10s");
-        long length = top.time("length", "60s");
-        long countFrom = top.time("count-from", "0s");
+    public static Scenario read(TomlDocument sheet) throws InvalidScenarioException {
+        TomlDocument.Table top = sheet.rootTable();
+        String name = top.readText("name", null);
+        String says = top.readText("says", "");
+        long warmUp = top.readDurationNanos("warm-up", "10s");
+        long length = top.readDurationNanos("length", "60s");
+        long countFrom = top.readDurationNanos("count-from", "0s");
         if (countFrom >= length) {
-            top.fault("count-from", "is malformed: expected a time before the run's length");
+            top.addFault("count-from", "is malformed: expected a time before the run's length");
         }
-        Sheet.Part r = top.part("relays");
+        TomlDocument.Table r = top.readTable("relays");
         Relays relays = new Relays(
-                (int) r.whole("count", 2L, 1, 1000),
-                r.time("notice", "1s"),
-                (int) r.whole("sockets", 65_536L, 128, 1 << 20),
-                r.flag("kept", false),
-                r.time("interval", "2s"),
-                Known.valueOf(r.word("known", "last", words(Known.values())).toUpperCase(java.util.Locale.ROOT)));
-        r.end();
-        Sheet.Part n = top.part("network");
-        Network network = new Network(n.time("least", "200us"), n.time("most", "800us"));
-        if (network.most < network.least) {
-            n.fault("most", "is malformed: expected no less than least");
+                (int) r.readLong("count", 2L, 1, 1000),
+                r.readDurationNanos("notice", "1s"),
+                (int) r.readLong("sockets", 65_536L, 128, 1 << 20),
+                r.readBoolean("kept", false),
+                r.readDurationNanos("interval", "2s"),
+                RestartRoster.valueOf(r.readChoice("known", "last", tomlNames(RestartRoster.values()))
+                        .toUpperCase(java.util.Locale.ROOT)));
+        r.reportUnknownKeys();
+        TomlDocument.Table n = top.readTable("network");
+        Network network = new Network(n.readDurationNanos("least", "200us"), n.readDurationNanos("most", "800us"));
+        if (network.maxLatency < network.minLatency) {
+            n.addFault("most", "is malformed: expected no less than least");
         }
-        n.end();
-        Sheet.Part ro = top.part("roster");
-        RosterService roster = new RosterService(ro.time("lag", "200ms"), ro.time("notice", "2s"));
-        ro.end();
+        n.reportUnknownKeys();
+        TomlDocument.Table ro = top.readTable("roster");
+        RosterService roster =
+                new RosterService(ro.readDurationNanos("lag", "200ms"), ro.readDurationNanos("notice", "2s"));
+        ro.reportUnknownKeys();
         List<Fleet> fleets = fleets(top);
-        List<Work> works = works(top);
-        Sheet.Part g = top.part("groups");
+        List<Workload> works = works(top);
+        TomlDocument.Table g = top.readTable("groups");
         Groups groups = new Groups(
-                (int) g.whole("count", 0L, 0, 10_000_000), g.number("skew", 0.0, 0, 3), g.time("work", "0ms"));
-        g.end();
-        Sheet.Part c = top.part("clients");
+                (int) g.readLong("count", 0L, 0, 10_000_000),
+                g.readDouble("skew", 0.0, 0, 3),
+                g.readDurationNanos("work", "0ms"));
+        g.reportUnknownKeys();
+        TomlDocument.Table c = top.readTable("clients");
         Clients clients = new Clients(
-                (int) c.whole("retries", 2L, 0, 100),
-                c.time("back-off", "500ms"),
-                c.flag("returns", true),
-                c.time("return-within", "400ms"));
-        c.end();
-        Sheet.Part u = top.part("rules");
+                (int) c.readLong("retries", 2L, 0, 100),
+                c.readDurationNanos("back-off", "500ms"),
+                c.readBoolean("returns", true),
+                c.readDurationNanos("return-within", "400ms"));
+        c.reportUnknownKeys();
+        TomlDocument.Table u = top.readTable("rules");
         Rules rules = new Rules(
-                u.time("drain-grace", "1s"),
-                u.number("cold-from", 0.2, 0.01, 1),
-                u.time("cold", "10s"),
-                u.number("fall-multiple", 3.0, 1, 100),
-                u.time("fall", "3s"),
-                (int) u.whole("dispatches", 4L, 1, 100),
-                u.time("retry-after", "1500ms"));
-        u.end();
-        Sheet.Part s = top.part("store");
-        Store store = new Store(s.time("work", "0ms"), s.number("speed", 1.0, 0.001, 1e6));
-        s.end();
+                u.readDurationNanos("drain-grace", "1s"),
+                u.readDouble("cold-from", 0.2, 0.01, 1),
+                u.readDurationNanos("cold", "10s"),
+                u.readDouble("fall-multiple", 3.0, 1, 100),
+                u.readDurationNanos("fall", "3s"),
+                (int) u.readLong("dispatches", 4L, 1, 100),
+                u.readDurationNanos("retry-after", "1500ms"));
+        u.reportUnknownKeys();
+        TomlDocument.Table s = top.readTable("store");
+        SharedStore store = new SharedStore(s.readDurationNanos("work", "0ms"), s.readDouble("speed", 1.0, 0.001, 1e6));
+        s.reportUnknownKeys();
         int backends = fleets.stream().mapToInt(Fleet::count).sum();
         List<Trouble> troubles = troubles(top, backends, relays.count, length, store, groups);
-        top.end();
+        top.reportUnknownKeys();
         if (!sheet.faults().isEmpty()) {
-            throw new Faulty(sheet.faults());
+            throw new InvalidScenarioException(sheet.faults());
         }
         return new Scenario(
                 name, says, warmUp, length, countFrom, relays, network, roster, fleets, works, groups, clients, rules,
                 store, troubles);
     }
 
-    private static List<Fleet> fleets(Sheet.Part top) {
+    private static List<Fleet> fleets(TomlDocument.Table top) {
         List<Fleet> fleets = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Sheet.Part f : top.parts("fleet")) {
+        for (TomlDocument.Table f : top.readTables("fleet")) {
             Fleet fleet = new Fleet(
-                    f.text("name", "s"),
-                    (int) f.whole("count", null, 1, 100_000),
-                    f.number("weight", 1.0, 0.01, 100),
-                    f.number("speed", 1.0, 0.001, 1000),
-                    f.text("zone", "a"),
-                    (int) f.whole("slots", 1_000_000L, 1, 1 << 24),
-                    f.flag("cold", false));
+                    f.readText("name", "s"),
+                    (int) f.readLong("count", null, 1, 100_000),
+                    f.readDouble("weight", 1.0, 0.01, 100),
+                    f.readDouble("speed", 1.0, 0.001, 1000),
+                    f.readText("zone", "a"),
+                    (int) f.readLong("slots", 1_000_000L, 1, 1 << 24),
+                    f.readBoolean("cold", false));
             if (!names.add(fleet.name)) {
-                f.fault("name", "is taken by another fleet");
+                f.addFault("name", "is taken by another fleet");
             }
-            f.end();
+            f.reportUnknownKeys();
             fleets.add(fleet);
         }
         if (fleets.isEmpty()) {
-            top.fault("fleet", "is missing: expected one [[fleet]] at least");
+            top.addFault("fleet", "is missing: expected one [[fleet]] at least");
         }
         return fleets;
     }
 
-    private static List<Work> works(Sheet.Part top) {
-        List<Work> works = new ArrayList<>();
+    private static List<Workload> works(TomlDocument.Table top) {
+        List<Workload> works = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Sheet.Part w : top.parts("use-case")) {
-            String effect = w.word("effect", "retriable", List.of("retriable", "fingerprinted", "binding"));
-            long goal = w.time("goal", "400ms");
-            long cutOff = w.time("cut-off", "2s");
-            Work work = new Work(
-                    w.text("name", null),
+        for (TomlDocument.Table w : top.readTables("use-case")) {
+            String effect = w.readChoice("effect", "retriable", List.of("retriable", "fingerprinted", "binding"));
+            long goal = w.readDurationNanos("goal", "400ms");
+            long cutOff = w.readDurationNanos("cut-off", "2s");
+            Workload work = new Workload(
+                    w.readText("name", null),
                     Effect.valueOf(effect.toUpperCase(java.util.Locale.ROOT)),
-                    w.word("scope", "zone", List.of("all", "zone", "cell")),
-                    w.time("window", "500ms"),
+                    w.readChoice("scope", "zone", List.of("all", "zone", "cell")),
+                    w.readDurationNanos("window", "500ms"),
                     goal,
                     cutOff,
-                    w.number("rate", 0.0, 0, 1e6),
-                    (int) w.whole("standing", 0L, 0, 10_000_000),
-                    w.time("life", "20s"),
-                    w.time("set-up", "5ms"),
-                    w.time("line", "200us"),
-                    w.time("every", "2s"),
-                    w.time("line-goal", "100ms"),
-                    w.number("benefit", 1.0, 0, 1e6),
-                    w.number("line-benefit", 0.1, 0, 1e6));
+                    w.readDouble("rate", 0.0, 0, 1e6),
+                    (int) w.readLong("standing", 0L, 0, 10_000_000),
+                    w.readDurationNanos("life", "20s"),
+                    w.readDurationNanos("set-up", "5ms"),
+                    w.readDurationNanos("line", "200us"),
+                    w.readDurationNanos("every", "2s"),
+                    w.readDurationNanos("line-goal", "100ms"),
+                    w.readDouble("benefit", 1.0, 0, 1e6),
+                    w.readDouble("line-benefit", 0.1, 0, 1e6));
             if (cutOff <= goal) {
-                w.fault("cut-off", "is malformed: expected more than goal");
+                w.addFault("cut-off", "is malformed: expected more than goal");
             }
-            if (work.every < 1_000_000) {
-                w.fault("every", "is malformed: expected 1ms at least");
+            if (work.lineInterval < 1_000_000) {
+                w.addFault("every", "is malformed: expected 1ms at least");
             }
             if (work.name != null && !names.add(work.name)) {
-                w.fault("name", "is taken by another use case");
+                w.addFault("name", "is taken by another use case");
             }
-            w.end();
+            w.reportUnknownKeys();
             works.add(work);
         }
         if (works.isEmpty()) {
-            top.fault("use-case", "is missing: expected one [[use-case]] at least");
+            top.addFault("use-case", "is missing: expected one [[use-case]] at least");
         }
         return works;
     }
 
-    private static List<String> words(Enum<?>[] values) {
+    private static List<String> tomlNames(Enum<?>[] values) {
         return java.util.Arrays.stream(values)
                 .map(v -> v.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'))
                 .toList();
     }
 
     private static List<Trouble> troubles(
-            Sheet.Part top, int backends, int relays, long length, Store store, Groups groups) {
+            TomlDocument.Table top, int backends, int relays, long length, SharedStore store, Groups groups) {
         List<Trouble> troubles = new ArrayList<>();
-        List<String> words =
-                java.util.Arrays.stream(Kind.values()).map(Kind::word).toList();
-        for (Sheet.Part t : top.parts("trouble")) {
-            String word = t.word("kind", null, words);
-            Kind kind = word == null
+        List<String> words = java.util.Arrays.stream(TroubleKind.values())
+                .map(TroubleKind::tomlName)
+                .toList();
+        for (TomlDocument.Table t : top.readTables("trouble")) {
+            String word = t.readChoice("kind", null, words);
+            TroubleKind kind = word == null
                     ? null
-                    : Kind.valueOf(word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-            long at = t.time("at", null);
-            long lasts = t.time("lasts", "5s");
+                    : TroubleKind.valueOf(
+                            word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+            long at = t.readDurationNanos("at", null);
+            long lasts = t.readDurationNanos("lasts", "5s");
             if (kind == null) {
                 continue;
             }
-            int struck = kind.strikesBackends()
-                    ? (int) t.whole("backends", 1L, 1, kind == Kind.JOIN ? 100_000 : backends)
+            int struck = kind.affectsBackends()
+                    ? (int) t.readLong("backends", 1L, 1, kind == TroubleKind.JOIN ? 100_000 : backends)
                     : 0;
-            int away = kind.strikesRelays() ? (int) t.whole("relays", 1L, 1, relays) : 0;
-            double factor = kind.hasFactor() ? t.number("factor", null, 0.001, 1e6) : 1;
-            String how = kind == Kind.ROSTER_DOWN ? t.word("how", "answers-503", words(Down.values())) : "answers-503";
-            double rate = kind == Kind.BAD_CLIENTS ? t.number("rate", 50.0, 0.1, 1e5) : 0;
+            int away = kind.affectsRelays() ? (int) t.readLong("relays", 1L, 1, relays) : 0;
+            double factor = kind.hasFactor() ? t.readDouble("factor", null, 0.001, 1e6) : 1;
+            String how = kind == TroubleKind.ROSTER_DOWN
+                    ? t.readChoice("how", "answers-503", tomlNames(RosterFailureMode.values()))
+                    : "answers-503";
+            double rate = kind == TroubleKind.BAD_CLIENTS ? t.readDouble("rate", 50.0, 0.1, 1e5) : 0;
             if (at >= length) {
-                t.fault("at", "is malformed: expected a time before the run's length");
+                t.addFault("at", "is malformed: expected a time before the run's length");
             }
-            if (kind == Kind.STORE_SLOW && store.work == 0) {
-                t.fault("kind", "needs a [store] with work");
+            if (kind == TroubleKind.STORE_SLOW && store.workPerSetUp == 0) {
+                t.addFault("kind", "needs a [store] with work");
             }
-            if (kind == Kind.HOT_GROUP && (groups.count == 0 || factor > 1)) {
-                t.fault("factor", "is malformed: expected a share up to 1, and [groups] with a count");
+            if (kind == TroubleKind.HOT_GROUP && (groups.count == 0 || factor > 1)) {
+                t.addFault("factor", "is malformed: expected a share up to 1, and [groups] with a count");
             }
-            t.end();
+            t.reportUnknownKeys();
             troubles.add(new Trouble(
                     kind,
                     at,
@@ -374,7 +402,8 @@
                     away,
                     factor,
                     rate,
-                    Down.valueOf(how.toUpperCase(java.util.Locale.ROOT).replace('-', '_'))));
+                    RosterFailureMode.valueOf(
+                            how.toUpperCase(java.util.Locale.ROOT).replace('-', '_'))));
         }
         return troubles;
     }
--- a/lab/src/main/java/ambertrestle/lab/scenario/Spread.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/SplitMix64.java
@@ -1,8 +1,8 @@
 package ambertrestle.lab.scenario;
 
 /** Spreads numbers evenly over all 64 bits (the finaliser of SplitMix64), alike on every machine. */
-public final class Spread {
-    private Spread() {}
+public final class SplitMix64 {
+    private SplitMix64() {}
 
     public static long mix(long z) {
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/lab/src/main/java/ambertrestle/lab/world/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
@@ -1,10 +1,10 @@
-package ambertrestle.lab.world;
+package ambertrestle.lab.simulation;
 
 import java.nio.charset.StandardCharsets;
 
 /** A client that sends what none may send, or says nothing; it is owed an error or a close within 3 s. */
-final class BadClient extends ClientEnd {
-    private static final String[] SENDS = {
+final class BadClient extends ClientEndpoint {
+    private static final String[] INVALID_REQUESTS = {
         "HELLO",
         "OPEN",
         "OPEN zz 1 c=x,t=t,d=1",
@@ -15,15 +15,15 @@
         "",
         "X".repeat(5000)
     };
-    static final int KINDS = SENDS.length;
+    static final int INVALID_REQUEST_COUNT = INVALID_REQUESTS.length;
     private static final long OWED = 3_000_000_000L;
 
-    private final World world;
-    private final RelayEnd relay;
+    private final Testbed world;
+    private final RelayInstance relay;
     private final int kind;
     private boolean over;
 
-    BadClient(World world, RelayEnd relay, int kind) {
+    BadClient(Testbed world, RelayInstance relay, int kind) {
         this.world = world;
         this.relay = relay;
         this.kind = kind;
@@ -34,46 +34,46 @@
     }
 
     @Override
-    long key() {
+    long latencyKey() {
         return kind;
     }
 
     @Override
-    public void accepted() {
-        if (!SENDS[kind].isEmpty()) {
-            relay.send(this, (SENDS[kind] + "\r\n").getBytes(StandardCharsets.UTF_8));
+    public void onAccepted() {
+        if (!INVALID_REQUESTS[kind].isEmpty()) {
+            relay.send(this, (INVALID_REQUESTS[kind] + "\r\n").getBytes(StandardCharsets.UTF_8));
         }
-        world.clock.after(OWED + 50_000_000L, () -> {
+        world.scheduler.scheduleAfter(OWED + 50_000_000L, () -> {
             if (!over) {
                 over = true;
-                world.badLeftAlone();
+                world.onBadClientUnanswered();
                 relay.end(this);
             }
         });
     }
 
     @Override
-    public void refused() {
+    public void onRefused() {
         over = true;
     }
 
     @Override
-    public void said(byte[] raw) {
+    public void onLine(byte[] raw) {
         over |= raw[0] == 'E' || raw[0] == 'B';
     }
 
     @Override
-    public void ended(boolean reset) {
+    public void onClosed(boolean reset) {
         over = true;
     }
 
     @Override
-    public void relayDied() {
+    public void onRelayKilled() {
         over = true;
     }
 
     @Override
-    public void relayEndsProcess() {
+    public void onRelayShutdown() {
         over = true;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/world/HeardRoster.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/DeliveredRoster.java
@@ -1,6 +1,6 @@
-package ambertrestle.lab.world;
+package ambertrestle.lab.simulation;
 
-import ambertrestle.decide.Listed.Stage;
+import ambertrestle.decide.RosterEntry.Stage;
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.HashSet;
 import java.util.List;
@@ -11,23 +11,23 @@
  * What one relay was told of the roster, as its witness keeps it: the list it has, and since when each backend is to
  * get nothing.
  */
-public final class HeardRoster {
-    private final TreeMap<String, RosterMessage.Line> lines = new TreeMap<>();
-    private final TreeMap<String, Long> drainTold = new TreeMap<>();
+public final class DeliveredRoster {
+    private final TreeMap<String, RosterMessage.Entry> lines = new TreeMap<>();
+    private final TreeMap<String, Long> drainNotifiedAt = new TreeMap<>();
     private long index = -1;
 
-    public void take(RosterMessage message, long now) {
-        index = message.index();
-        if (message.whole()) {
+    public void apply(RosterMessage message, long now) {
+        index = message.version();
+        if (message.isComplete()) {
             Set<String> named = new HashSet<>();
-            message.lines().forEach(l -> named.add(l.name()));
+            message.entries().forEach(l -> named.add(l.name()));
             lines.keySet().retainAll(named);
         }
-        for (RosterMessage.Line line : message.lines()) {
+        for (RosterMessage.Entry line : message.entries()) {
             if (line.stage() == Stage.READY) {
-                drainTold.remove(line.name());
+                drainNotifiedAt.remove(line.name());
             } else {
-                drainTold.putIfAbsent(line.name(), now);
+                drainNotifiedAt.putIfAbsent(line.name(), now);
             }
             if (line.stage() == Stage.GONE) {
                 lines.remove(line.name());
@@ -38,17 +38,17 @@
     }
 
     /** It was told nothing yet. */
-    public boolean isEmpty() {
+    public boolean isUninitialized() {
         return index < 0;
     }
 
     /** The list as it stands, which a relay is started again with. */
-    public RosterMessage known() {
+    public RosterMessage snapshot() {
         return new RosterMessage(index, true, List.copyOf(lines.values()));
     }
 
     /** When it was told that the backend drains or is gone; -1 where it was not. */
-    public long drainTold(String backend) {
-        return drainTold.getOrDefault(backend, -1L);
+    public long drainNotifiedAt(String backend) {
+        return drainNotifiedAt.getOrDefault(backend, -1L);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/world/Agenda.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/EventQueue.java
@@ -1,18 +1,18 @@
-package ambertrestle.lab.world;
+package ambertrestle.lab.simulation;
 
 import java.util.Arrays;
 
 /**
  * What is to happen and when, in virtual time. Of one moment, what was set first comes first; nothing else orders it.
  */
-final class Agenda implements Clock {
+final class EventQueue implements Scheduler {
     private long[] times = new long[1 << 12];
     private long[] orders = new long[1 << 12];
-    private Runnable[] things = new Runnable[1 << 12];
+    private Runnable[] actions = new Runnable[1 << 12];
     private int size;
-    private long set;
+    private long nextOrder;
     private long now;
-    private long done;
+    private long processedEvents;
 
     @Override
     public long now() {
@@ -20,20 +20,20 @@
     }
 
     /** How many things have happened. */
-    long done() {
-        return done;
+    long processedEvents() {
+        return processedEvents;
     }
 
     @Override
-    public void at(long time, Runnable thing) {
+    public void scheduleAt(long time, Runnable thing) {
         if (size == times.length) {
             times = Arrays.copyOf(times, size * 2);
             orders = Arrays.copyOf(orders, size * 2);
-            things = Arrays.copyOf(things, size * 2);
+            actions = Arrays.copyOf(actions, size * 2);
         }
         int i = size++;
         long when = Math.max(now, time);
-        long order = set++;
+        long order = nextOrder++;
         while (i > 0) {
             int up = (i - 1) >> 2;
             if (times[up] < when || times[up] == when && orders[up] < order) {
@@ -46,24 +46,24 @@
     }
 
     /** Lets all happen that is due before `end`; false when there is nothing left. */
-    boolean run(long end) {
+    boolean runUntil(long end) {
         while (size > 0 && times[0] < end) {
             now = times[0];
-            Runnable thing = things[0];
-            drop();
-            done++;
+            Runnable thing = actions[0];
+            removeFirst();
+            processedEvents++;
             thing.run();
         }
         now = Math.max(now, end);
         return size > 0;
     }
 
-    private void drop() {
+    private void removeFirst() {
         int last = --size;
         long when = times[last];
         long order = orders[last];
-        Runnable thing = things[last];
-        things[last] = null;
+        Runnable thing = actions[last];
+        actions[last] = null;
         if (last == 0) {
             return;
         }
@@ -87,12 +87,12 @@
     private void move(int from, int to) {
         times[to] = times[from];
         orders[to] = orders[from];
-        things[to] = things[from];
+        actions[to] = actions[from];
     }
 
     private void put(int i, long when, long order, Runnable thing) {
         times[i] = when;
         orders[i] = order;
-        things[i] = thing;
+        actions[i] = thing;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/world/Meter.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
@@ -1,4 +1,4 @@
-package ambertrestle.lab.world;
+package ambertrestle.lab.simulation;
 
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -7,17 +7,17 @@
 import org.HdrHistogram.Histogram;
 
 /** Counts what a run brought, a second at a time, and how long answers took. Nothing here decides or judges. */
-public final class Meter {
+public final class MetricsRecorder {
     /** What is counted in each second. */
     public enum Series {
-        OFFERED("benefit offered"),
+        OFFERED_BENEFIT("benefit offered"),
         BENEFIT("benefit"),
         OPENS("opens"),
-        RETURNS("reconnects"),
-        UP("up"),
-        BUSY("shed"),
-        ERR("forfeited"),
-        UNHEARD("no answer"),
+        RECONNECTS("reconnects"),
+        ESTABLISHED("up"),
+        SHED("shed"),
+        FORFEITED("forfeited"),
+        UNANSWERED("no answer"),
         REFUSED("not connected"),
         DONE("done"),
         BROKEN("broken"),
@@ -25,18 +25,18 @@
         LINES("lines"),
         LATE_LINES("late lines"),
         DISPATCHES("dispatches"),
-        OPEN("open connections"),
-        WAITING("waiting for an answer"),
-        BUSIEST("busiest backend, % of its speed"),
-        MEAN_BUSY("mean of backends, %"),
-        TO_FRESH("dispatches to backends started within the cold time"),
-        WORST_WAIT("longest queue at a backend, ms"),
-        MEAN_WAIT("mean queue at backends, ms");
+        OPEN_CONNECTIONS("open connections"),
+        AWAITING_ANSWER("waiting for an answer"),
+        MAX_UTILIZATION("busiest backend, % of its speed"),
+        MEAN_UTILIZATION("mean of backends, %"),
+        DISPATCHES_TO_COLD_BACKENDS("dispatches to backends started within the cold time"),
+        MAX_QUEUE_DELAY("longest queue at a backend, ms"),
+        MEAN_QUEUE_DELAY("mean queue at backends, ms");
 
-        public final String says;
+        public final String label;
 
         Series(String says) {
-            this.says = says;
+            this.label = says;
         }
     }
 
@@ -47,13 +47,13 @@
 
     private final Map<Series, double[]> series = new LinkedHashMap<>();
     /** All that was ever added, the warm-up's too: what the account of answers is made from. */
-    private final EnumMap<Series, Double> ever = new EnumMap<>(Series.class);
+    private final EnumMap<Series, Double> totals = new EnumMap<>(Series.class);
     /** From when the client wanted it (its first try) to UP; from when a line was due to its answer. Microseconds. */
-    public final Histogram opening = new Histogram(600_000_000L, 3);
+    public final Histogram openingLatency = new Histogram(600_000_000L, 3);
 
-    public final Histogram line = new Histogram(600_000_000L, 3);
+    public final Histogram lineLatency = new Histogram(600_000_000L, 3);
 
-    public Meter(long from, long to, long countFrom) {
+    public MetricsRecorder(long from, long to, long countFrom) {
         this.from = from;
         this.countFrom = (int) (countFrom / SECOND);
         for (Series s : Series.values()) {
@@ -62,14 +62,14 @@
     }
 
     public void add(Series what, double amount, long now) {
-        ever.merge(what, amount, Double::sum);
+        totals.merge(what, amount, Double::sum);
         double[] row = series.get(what);
         if (now >= from && now - from < row.length * SECOND) {
             row[(int) ((now - from) / SECOND)] += amount;
         }
     }
 
-    public void took(Histogram where, long nanos, long now) {
+    public void recordLatency(Histogram where, long nanos, long now) {
         if (now >= from + countFrom * SECOND) {
             where.recordValue(Math.min(599_000_000L, Math.max(0, nanos / 1000)));
         }
@@ -79,9 +79,9 @@
         return series.get(s);
     }
 
-    public long ever(Series... all) {
+    public long totalWithWarmUp(Series... all) {
         return Math.round(
-                Arrays.stream(all).mapToDouble(s -> ever.getOrDefault(s, 0.0)).sum());
+                Arrays.stream(all).mapToDouble(s -> totals.getOrDefault(s, 0.0)).sum());
     }
 
     public double sum(Series s) {
--- a/lab/src/main/java/ambertrestle/lab/world/RosterNode.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRosterService.java
@@ -1,7 +1,7 @@
-package ambertrestle.lab.world;
+package ambertrestle.lab.simulation;
 
-import ambertrestle.decide.Listed.Stage;
-import ambertrestle.lab.scenario.Scenario.Down;
+import ambertrestle.decide.RosterEntry.Stage;
+import ambertrestle.lab.scenario.Scenario.RosterFailureMode;
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -10,45 +10,45 @@
 import java.util.TreeMap;
 
 /** The roster service: one list, told to all who watch after its lag; while it is down watches end and calls fail. */
-public final class RosterNode {
+public final class SimulatedRosterService {
     private static final long MS = 1_000_000L;
     /** Whoever watches the list. */
     public interface Watcher {
-        void told(RosterMessage message);
+        void onMessage(RosterMessage message);
 
         /** The watch ended. */
-        void cutOff();
+        void onWatchEnded();
     }
 
-    private final World world;
-    private final TreeMap<String, RosterMessage.Line> listed = new TreeMap<>();
+    private final Testbed testbed;
+    private final TreeMap<String, RosterMessage.Entry> listed = new TreeMap<>();
     /** What changed with each version, so that a watch can go on from where it was. */
-    private final TreeMap<Long, List<RosterMessage.Line>> changes = new TreeMap<>();
+    private final TreeMap<Long, List<RosterMessage.Entry>> changes = new TreeMap<>();
     /** What will be told, by when. */
-    private final TreeMap<Long, List<RosterMessage.Line>> coming = new TreeMap<>();
+    private final TreeMap<Long, List<RosterMessage.Entry>> pendingChanges = new TreeMap<>();
 
     private final Set<Watcher> watchers = new LinkedHashSet<>();
     private long index = 1;
     /** How it fails; null while it serves. */
-    private Down down;
+    private RosterFailureMode failureMode;
 
     double lagFactor = 1;
 
-    RosterNode(World world) {
-        this.world = world;
+    SimulatedRosterService(Testbed world) {
+        this.testbed = world;
     }
 
     /** Before the run: listed for long. */
-    void lists(BackendNode b) {
+    void addInitialBackend(SimulatedBackend b) {
         listed.put(b.name, line(b, Stage.READY));
     }
 
-    public RosterMessage whole() {
+    public RosterMessage fullRoster() {
         return new RosterMessage(index, true, new ArrayList<>(listed.values()));
     }
 
-    private RosterMessage.Line line(BackendNode b, Stage stage) {
-        return new RosterMessage.Line(
+    private RosterMessage.Entry line(SimulatedBackend b, Stage stage) {
+        return new RosterMessage.Entry(
                 b.name,
                 b.name,
                 stage,
@@ -56,39 +56,39 @@
                 b.fleet.name(),
                 0,
                 b.fleet.weight(),
-                b.startedAt < 0 ? 0 : world.wall(b.startedAt) / MS);
+                b.startedAt < 0 ? 0 : testbed.toUnixTime(b.startedAt) / MS);
     }
 
-    void died(BackendNode b) {
-        int life = b.life();
-        world.clock.after(world.scenario.roster().notice(), () -> {
-            if (!b.listens() && b.life() == life && listed.containsKey(b.name)) {
+    void onBackendDied(SimulatedBackend b) {
+        int life = b.incarnation();
+        testbed.scheduler.scheduleAfter(testbed.scenario.roster().failureDetectionDelay(), () -> {
+            if (!b.isListening() && b.incarnation() == life && listed.containsKey(b.name)) {
                 change(line(b, Stage.GONE));
             }
         });
     }
 
-    void started(BackendNode b) {
+    void onBackendStarted(SimulatedBackend b) {
         change(line(b, Stage.READY));
     }
 
-    void drains(BackendNode b) {
+    void onBackendDraining(SimulatedBackend b) {
         change(line(b, Stage.DRAINING));
     }
 
     /** What changes at one moment is told in one message. */
-    private void change(RosterMessage.Line line) {
-        long due = world.now() + (long) (world.scenario.roster().lag() * lagFactor);
-        List<RosterMessage.Line> together = coming.get(due);
+    private void change(RosterMessage.Entry line) {
+        long due = testbed.now() + (long) (testbed.scenario.roster().propagationDelay() * lagFactor);
+        List<RosterMessage.Entry> together = pendingChanges.get(due);
         if (together != null) {
             together.add(line);
             return;
         }
-        coming.put(due, new ArrayList<>(List.of(line)));
-        world.clock.at(due, () -> {
-            List<RosterMessage.Line> lines = coming.remove(due);
+        pendingChanges.put(due, new ArrayList<>(List.of(line)));
+        testbed.scheduler.scheduleAt(due, () -> {
+            List<RosterMessage.Entry> lines = pendingChanges.remove(due);
             index++;
-            for (RosterMessage.Line l : lines) {
+            for (RosterMessage.Entry l : lines) {
                 changes.computeIfAbsent(index, k -> new ArrayList<>()).add(l);
                 if (l.stage() == Stage.GONE) {
                     listed.remove(l.name());
@@ -97,19 +97,19 @@
                 }
             }
             long version = index;
-            List.copyOf(watchers).forEach(w -> w.told(new RosterMessage(version, false, lines)));
+            List.copyOf(watchers).forEach(w -> w.onMessage(new RosterMessage(version, false, lines)));
         });
     }
 
     /** False while it is down: the call fails. */
     public boolean watch(Watcher watcher, long from) {
-        if (down != null) {
+        if (failureMode != null) {
             return false;
         }
         watchers.add(watcher);
-        watcher.told(
+        watcher.onMessage(
                 from < 0 || from > index
-                        ? whole()
+                        ? fullRoster()
                         : new RosterMessage(
                                 index,
                                 false,
@@ -123,16 +123,16 @@
         watchers.remove(watcher);
     }
 
-    public Down down() {
-        return down;
+    public RosterFailureMode failureMode() {
+        return failureMode;
     }
 
-    void down(Down how) {
-        down = how;
+    void setFailureMode(RosterFailureMode how) {
+        failureMode = how;
         if (how != null) {
             List<Watcher> all = List.copyOf(watchers);
             watchers.clear();
-            all.forEach(Watcher::cutOff);
+            all.forEach(Watcher::onWatchEnded);
         }
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/ArrowsTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ModuleDependencyTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who may know whom: integrations the relay, the relay the core, nobody the lab. */
-class ArrowsTest {
+class ModuleDependencyTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("ambertrestle");
 
-    private static ArchRule none(String from, String... to) {
+    private static ArchRule noDependency(String from, String... to) {
         return noClasses()
                 .that()
                 .resideInAnyPackage(from)
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void coreKnowsNobody() {
-        none(
+    void coreDependsOnNoOtherModule() {
+        noDependency(
                         "ambertrestle.decide..",
                         "ambertrestle.relay..",
                         "ambertrestle.simhost..",
@@ -40,10 +40,10 @@
                         "java.nio..",
                         "java.util.concurrent..")
                 .check(ALL);
-        none(
-                        "ambertrestle.recover..",
+        noDependency(
+                        "ambertrestle.restore..",
                         "ambertrestle.relay..",
-                        "ambertrestle.ticket..",
+                        "ambertrestle.settings..",
                         "ambertrestle.lab..",
                         "io..",
                         "com..",
@@ -52,8 +52,8 @@
                         "java.nio..",
                         "java.util.concurrent..")
                 .check(ALL);
-        none(
-                        "ambertrestle.ticket..",
+        noDependency(
+                        "ambertrestle.settings..",
                         "ambertrestle.relay..",
                         "ambertrestle.decide..",
                         "ambertrestle.lab..",
@@ -64,9 +64,9 @@
     }
 
     @Test
-    void whatIsKeptKnowsNoVertxNoSocketNoThread() {
-        none(
-                        "ambertrestle.relay.memory..",
+    void reducerDependsOnNoVertxSocketOrThread() {
+        noDependency(
+                        "ambertrestle.relay.connection..",
                         "io.vertx..",
                         "io.netty..",
                         "java.net..",
@@ -76,23 +76,24 @@
     }
 
     @Test
-    void theRulesOfAStartTouchNoFileNoClockNoThread() {
+    void recoveryDependsOnNoFileClockOrThread() {
         noClasses()
                 .that()
-                .resideInAPackage("ambertrestle.relay.durable..")
+                .resideInAPackage("ambertrestle.relay.persistence..")
                 .and()
-                .haveNameMatching(".*\\.(Recovery|Start|Mirror|Hand|Picture|StateFile|Said)(\\$.*)?")
+                .haveNameMatching(
+                        ".*\\.(Recovery|StartupProgress|SnapshotBuilder|StateChanges|StateSnapshot|StateFileCodec|LogMessage)(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.nio.file..", "java.nio.channels..", "java.util.concurrent..", "io..")
                 .orShould()
                 .dependOnClassesThat()
-                .haveNameMatching(".*\\.(Keeper|Folder|Disk|RealDisk)")
+                .haveNameMatching(".*\\.(StateStore|SnapshotDirectory|Storage|FileSystemStorage)")
                 .check(ALL);
     }
 
     @Test
-    void nobodyKnowsTheLab() {
+    void noModuleDependsOnLab() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("ambertrestle.lab..")
@@ -103,12 +104,13 @@
     }
 
     @Test
-    void theModelReadsNoClockAndStartsNoThread() {
-        none("ambertrestle.lab.world..", "java.net..", "java.time..", "java.util.concurrent..")
+    void simulationReadsNoClockAndStartsNoThread() {
+        noDependency("ambertrestle.lab.simulation..", "java.net..", "java.time..", "java.util.concurrent..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAnyPackage("ambertrestle.lab.world..", "ambertrestle.lab.policy..", "ambertrestle.decide..")
+                .resideInAnyPackage(
+                        "ambertrestle.lab.simulation..", "ambertrestle.lab.policy..", "ambertrestle.decide..")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -118,9 +120,9 @@
 
     /** The rules above would pass on an empty set of classes too. */
     @Test
-    void anArrowThatIsThereIsFound() {
-        assertThatThrownBy(
-                        () -> none("ambertrestle.lab..", "ambertrestle.relay..").check(ALL))
+    void ruleDetectsAnExistingDependency() {
+        assertThatThrownBy(() -> noDependency("ambertrestle.lab..", "ambertrestle.relay..")
+                        .check(ALL))
                 .isInstanceOf(AssertionError.class);
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.lab.scenario.Scenario.Kind;
+import ambertrestle.lab.scenario.Scenario.TroubleKind;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.nio.file.Files;
@@ -20,26 +20,27 @@
     private Path dir;
 
     @Test
-    void everyKindOfTroubleIsShippedAndThreeScenariosOverlapSome() throws Exception {
-        Set<Kind> kinds = EnumSet.noneOf(Kind.class);
+    void shippedScenariosCoverEveryTroubleKindAndThreeOverlapTroubles() throws Exception {
+        Set<TroubleKind> kinds = EnumSet.noneOf(TroubleKind.class);
         int overlapping = 0;
-        for (Path file : Worlds.shipped()) {
+        for (Path file : TestScenarios.shippedScenarios()) {
             Scenario s = Scenario.read(file);
             s.troubles().forEach(t -> kinds.add(t.kind()));
             overlapping += s.troubles().stream().anyMatch(t -> s.troubles().stream()
-                            .anyMatch(o ->
-                                    o.kind() != t.kind() && o.at() < t.at() + t.lasts() && t.at() < o.at() + o.lasts()))
+                            .anyMatch(o -> o.kind() != t.kind()
+                                    && o.startOffset() < t.startOffset() + t.duration()
+                                    && t.startOffset() < o.startOffset() + o.duration()))
                     ? 1
                     : 0;
         }
-        assertThat(kinds).containsExactlyInAnyOrder(Kind.values());
+        assertThat(kinds).containsExactlyInAnyOrder(TroubleKind.values());
         assertThat(overlapping).isGreaterThanOrEqualTo(3);
     }
 
     @Test
-    void everyFaultIsNamedByFileLineAndKey() {
+    void errorsNameFileLineAndKey() {
         assertThatThrownBy(
-                        () -> Worlds.small(
+                        () -> TestScenarios.smallScenario(
                                 """
                 [[trouble]]
                 kind = "kil"
@@ -50,7 +51,7 @@
                 factor = -1
                 backend = 2
                 """))
-                .isInstanceOf(Scenario.Faulty.class)
+                .isInstanceOf(Scenario.InvalidScenarioException.class)
                 .hasMessageContaining("small.toml:23: trouble[1].kind is not known")
                 .hasMessageContaining("the nearest known is kill")
                 .hasMessageContaining("small.toml:27: trouble[2].at is malformed: expected a time")
@@ -59,9 +60,9 @@
     }
 
     @Test
-    void whatIsKeptAndHowARosterServiceFailsIsCheckedToo() {
+    void persistenceAndRosterFailureSettingsAreValidated() {
         assertThatThrownBy(
-                        () -> Worlds.small(
+                        () -> TestScenarios.smallScenario(
                                 """
                 [[trouble]]
                 kind = "roster-down"
@@ -70,9 +71,9 @@
                 """))
                 .hasMessageContaining("trouble[1].how is not known: expected one of refuses, hangs, "
                         + "answers-503, half-a-line; the nearest known is answers-503, got answers-504");
-        assertThatThrownBy(() -> Scenario.read(ambertrestle.relay.sheet.Sheet.parse(
+        assertThatThrownBy(() -> Scenario.read(ambertrestle.relay.toml.TomlDocument.parse(
                         "s.toml",
-                        Worlds.SMALL
+                        TestScenarios.SMALL
                                 .replace("count = 2\n", "count = 2\nkept = \"yes\"\nknown = \"some\"\n")
                                 .replace("length = ", "count-from = \"9s\"\nlength = "))))
                 .hasMessageContaining("relays.kept is malformed: expected true or false")
@@ -81,9 +82,9 @@
     }
 
     @Test
-    void aFaultyScenarioRunsNothingAndEndsWithOne() throws Exception {
+    void invalidScenarioRunsNothingAndExitsWithOne() throws Exception {
         Path file = dir.resolve("faulty.toml");
-        Files.writeString(file, Worlds.SMALL.replace("rate = 40.0", "rate = \"many\""));
+        Files.writeString(file, TestScenarios.SMALL.replace("rate = 40.0", "rate = \"many\""));
         StringWriter err = new StringWriter();
         CommandLine line = Lab.commandLine().setErr(new PrintWriter(err));
         assertThat(line.execute(
@@ -94,9 +95,9 @@
     }
 
     @Test
-    void unknownPoliciesAndSeedsAreRefusedAsWrongUsage() throws Exception {
+    void unknownPoliciesAndMalformedSeedsAreUsageErrors() throws Exception {
         Path file = dir.resolve("small.toml");
-        Files.writeString(file, Worlds.SMALL);
+        Files.writeString(file, TestScenarios.SMALL);
         StringWriter err = new StringWriter();
         assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--policy", "best"))
                 .isEqualTo(2);
--- a/lab/src/test/java/ambertrestle/lab/ShippedTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.lab.world.Meter.Series;
-import ambertrestle.lab.world.Model;
+import ambertrestle.lab.simulation.MetricsRecorder.Series;
+import ambertrestle.lab.simulation.SimulatedTestbed;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -15,9 +15,9 @@
  * Every shipped scenario of a small fleet, in the model: what the module must keep in each trouble, and what it must
  * bring.
  */
-class ShippedTest {
+class ShippedScenariosTest {
     /** A share far under what docs/distance.md tells is a defect; what is a little under it is for compare to say. */
-    private static final Map<String, Double> LEAST = Map.of(
+    private static final Map<String, Double> MIN_BENEFIT_SHARES = Map.of(
             "retry-storm",
             0.45,
             "store-slow",
@@ -40,25 +40,27 @@
             0.85);
 
     @Test
-    void theModuleKeepsAllRulesInEveryShippedTroubleAndServesWhatItCan() throws Exception {
-        List<Path> files =
-                Worlds.shipped().stream().filter(f -> !f.endsWith("large.toml")).toList();
+    void invariantsHoldAndBenefitShareIsReachedInEveryShippedScenario() throws Exception {
+        List<Path> files = TestScenarios.shippedScenarios().stream()
+                .filter(f -> !f.endsWith("large.toml"))
+                .toList();
         assertThat(files.size()).isGreaterThanOrEqualTo(15);
         Map<String, String> faults = new ConcurrentSkipListMap<>();
         files.parallelStream().forEach(file -> {
             try {
-                Model world = new Model(Scenario.read(file), "module", 1);
+                SimulatedTestbed world = new SimulatedTestbed(Scenario.read(file), "module", 1);
                 world.run(second -> true);
-                double share = world.meter.sum(Series.BENEFIT) / world.meter.sum(Series.OFFERED);
+                double share = world.metrics.sum(Series.BENEFIT) / world.metrics.sum(Series.OFFERED_BENEFIT);
                 String name = world.scenario.name();
-                if (!world.judge.kept()
-                        || share < LEAST.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
-                        || world.badUnanswered() > 0
-                        || world.account().get("answers unaccounted for") != 0
-                        || world.account().get("ends unaccounted for") != 0) {
+                if (!world.invariantChecker.hasNoViolations()
+                        || share < MIN_BENEFIT_SHARES.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
+                        || world.unansweredBadClients() > 0
+                        || world.connectionTotals().get("answers unaccounted for") != 0
+                        || world.connectionTotals().get("ends unaccounted for") != 0) {
                     faults.put(
                             name,
-                            share + " " + world.judge.breaches() + " " + world.badUnanswered() + " " + world.account());
+                            share + " " + world.invariantChecker.violationMessages() + " "
+                                    + world.unansweredBadClients() + " " + world.connectionTotals());
                 }
             } catch (Exception e) {
                 faults.put(file.toString(), e.toString());
--- a/lab/src/test/java/ambertrestle/lab/ModelTest.java
+++ b/lab/src/test/java/ambertrestle/lab/SimulatedTestbedTest.java
@@ -4,8 +4,8 @@
 
 import ambertrestle.lab.report.Summary;
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.lab.world.Meter.Series;
-import ambertrestle.lab.world.Model;
+import ambertrestle.lab.simulation.MetricsRecorder.Series;
+import ambertrestle.lab.simulation.SimulatedTestbed;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.nio.file.Files;
@@ -13,20 +13,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ModelTest {
+class SimulatedTestbedTest {
     @TempDir
     private Path dir;
 
-    private static double share(Scenario s, String policy) throws Exception {
-        Model world = new Model(s, policy, 5);
+    private static double benefitShare(Scenario s, String policy) throws Exception {
+        SimulatedTestbed world = new SimulatedTestbed(s, policy, 5);
         world.run(second -> true);
-        return world.meter.sum(Series.BENEFIT) / world.meter.sum(Series.OFFERED);
+        return world.metrics.sum(Series.BENEFIT) / world.metrics.sum(Series.OFFERED_BENEFIT);
     }
 
     private int run(String name, Object... more) throws Exception {
         Path file = dir.resolve("small.toml");
         Files.writeString(
-                file, Worlds.SMALL + "[[trouble]]\nkind = \"kill\"\nat = \"2s\"\nlasts = \"2s\"\nbackends = 2\n");
+                file,
+                TestScenarios.SMALL + "[[trouble]]\nkind = \"kill\"\nat = \"2s\"\nlasts = \"2s\"\nbackends = 2\n");
         String[] args = new String[4 + more.length];
         args[0] = "run";
         args[1] = file.toString();
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void oneFileAndOneSeedGiveTheSameBytesHoweverManyRunSideBySide() throws Exception {
+    void resultsAreIdenticalForAnyNumberOfParallelJobs() throws Exception {
         assertThat(run("one", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 1))
                 .isZero();
         assertThat(run("other", "--seeds", "1-3", "--policy", "module,random,oracle", "--jobs", 4))
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void anotherSeedIsAnotherRun() throws Exception {
+    void differentSeedsGiveDifferentResults() throws Exception {
         run("one", "--seeds", "1");
         run("other", "--seeds", "2");
         assertThat(Files.readString(dir.resolve("one/summary.json")))
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void comparingARunWithItselfFindsNoise() throws Exception {
+    void comparingARunWithItselfReportsNoise() throws Exception {
         run("one", "--seeds", "1-3");
         assertThat(Summary.compare(dir.resolve("one"), dir.resolve("one")))
                 .contains("noise")
@@ -71,39 +72,40 @@
 
     /** What is accounted for: each arrival ends in exactly one way while nothing is in trouble. */
     @Test
-    void onAQuietDayEveryArrivalIsServed() throws Exception {
-        Model world = new Model(Worlds.small(""), "module", 1);
+    void everyArrivalIsServedWithoutFaults() throws Exception {
+        SimulatedTestbed world = new SimulatedTestbed(TestScenarios.smallScenario(""), "module", 1);
         world.run(second -> true);
-        assertThat(world.judge.kept()).isTrue();
-        assertThat(world.meter.sum(Series.UP))
-                .isBetween(world.meter.sum(Series.OPENS) - 5, world.meter.sum(Series.OPENS) + 5);
-        assertThat(world.meter.sum(Series.BENEFIT) / world.meter.sum(Series.OFFERED))
+        assertThat(world.invariantChecker.hasNoViolations()).isTrue();
+        assertThat(world.metrics.sum(Series.ESTABLISHED))
+                .isBetween(world.metrics.sum(Series.OPENS) - 5, world.metrics.sum(Series.OPENS) + 5);
+        assertThat(world.metrics.sum(Series.BENEFIT) / world.metrics.sum(Series.OFFERED_BENEFIT))
                 .isGreaterThan(0.98);
     }
 
     @Test
-    void whoSeesMoreGetsMoreOfTheBenefitWhileBackendsAreSilent() throws Exception {
-        Scenario s = Worlds.small("[[trouble]]\nkind = \"silent-accept\"\nat = \"1s\"\nlasts = \"6s\"\nbackends = 3\n");
-        double random = share(s, "random");
-        double module = share(s, "module");
-        double oracle = share(s, "oracle");
+    void betterInformedPoliciesGetMoreBenefitWhileBackendsAreSilent() throws Exception {
+        Scenario s = TestScenarios.smallScenario(
+                "[[trouble]]\nkind = \"silent-accept\"\nat = \"1s\"\nlasts = \"6s\"\nbackends = 3\n");
+        double random = benefitShare(s, "random");
+        double module = benefitShare(s, "module");
+        double oracle = benefitShare(s, "oracle");
         assertThat(oracle).isGreaterThan(module);
         assertThat(module).isGreaterThan(random + 0.02);
     }
 
     /** Open load: what is offered is the same whatever the relays make of it. */
     @Test
-    void theLoadDoesNotSlowDownWhenTheFleetDoes() throws Exception {
-        Model quiet = new Model(Worlds.small(""), "module", 1);
-        Model slow = new Model(
-                Worlds.small(
+    void offeredLoadIsIndependentOfBackendSpeed() throws Exception {
+        SimulatedTestbed quiet = new SimulatedTestbed(TestScenarios.smallScenario(""), "module", 1);
+        SimulatedTestbed slow = new SimulatedTestbed(
+                TestScenarios.smallScenario(
                         "[[trouble]]\nkind = \"slow\"\nat = \"0s\"\nlasts = \"8s\"\nfactor = 0.01\nbackends = 6\n"),
                 "module",
                 1);
         quiet.run(second -> true);
         slow.run(second -> true);
-        double arrivals = slow.meter.sum(Series.OFFERED) / quiet.meter.sum(Series.OFFERED);
+        double arrivals = slow.metrics.sum(Series.OFFERED_BENEFIT) / quiet.metrics.sum(Series.OFFERED_BENEFIT);
         assertThat(arrivals).isBetween(0.8, 1.2);
-        assertThat(slow.meter.sum(Series.BENEFIT)).isLessThan(0.7 * quiet.meter.sum(Series.BENEFIT));
+        assertThat(slow.metrics.sum(Series.BENEFIT)).isLessThan(0.7 * quiet.metrics.sum(Series.BENEFIT));
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/Worlds.java
+++ b/lab/src/test/java/ambertrestle/lab/TestScenarios.java
@@ -1,15 +1,15 @@
 package ambertrestle.lab;
 
 import ambertrestle.lab.scenario.Scenario;
-import ambertrestle.relay.sheet.Sheet;
+import ambertrestle.relay.toml.TomlDocument;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
 
 /** Small scenarios for tests, written as users write them. */
-final class Worlds {
-    private Worlds() {}
+final class TestScenarios {
+    private TestScenarios() {}
 
     static final String SMALL =
             """
@@ -36,11 +36,11 @@
             life = "2s"
             """;
 
-    static Scenario small(String more) throws Exception {
-        return Scenario.read(Sheet.parse("small.toml", SMALL + more));
+    static Scenario smallScenario(String more) throws Exception {
+        return Scenario.read(TomlDocument.parse("small.toml", SMALL + more));
     }
 
-    static List<Path> shipped() throws Exception {
+    static List<Path> shippedScenarios() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
             return files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
         }
--- a/relay/src/main/java/ambertrestle/Main.java
+++ b/relay/src/main/java/ambertrestle/Main.java
@@ -1,9 +1,9 @@
 package ambertrestle;
 
 import ambertrestle.cli.Cli;
-import ambertrestle.relay.life.Log;
-import ambertrestle.relay.life.OperatorFile;
-import ambertrestle.relay.life.Serve;
+import ambertrestle.relay.server.Log;
+import ambertrestle.relay.server.OperatorConfiguration;
+import ambertrestle.relay.server.RelayServer;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 
@@ -15,17 +15,18 @@
         // Danger: a relay restarts with part of a core while clients wait; it does not pay for reading options it has
         // not.
         if (args.length == 1 && args[0].equals("serve")) {
-            Serve.run(System.getenv(), Log.Form.TEXT, null);
+            RelayServer.run(System.getenv(), Log.Format.TEXT, null);
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
             // The same for the one option that a relay which keeps its state is always started with: a fifth of its
             // start.
-            OperatorFile file = Cli.operatorFile(Path.of(args[2]), new PrintWriter(System.err, true));
+            OperatorConfiguration file =
+                    Cli.readOperatorConfiguration(Path.of(args[2]), new PrintWriter(System.err, true));
             if (file == null) {
                 System.exit(1);
             }
-            Serve.run(System.getenv(), file.logForm(), file.durable());
+            RelayServer.run(System.getenv(), file.logFormat(), file.persistence());
         } else if (args.length == 1 && args[0].equals("simhost")) {
-            int code = Cli.simulate();
+            int code = Cli.runSimHost();
             if (code != 0) {
                 System.exit(code);
             }
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -1,14 +1,14 @@
 package ambertrestle.cli;
 
-import ambertrestle.relay.life.Log;
-import ambertrestle.relay.life.OperatorFile;
-import ambertrestle.relay.life.RunSheet;
-import ambertrestle.relay.life.Serve;
-import ambertrestle.relay.memory.Placement;
-import ambertrestle.relay.sheet.Sheet;
+import ambertrestle.relay.connection.PlacementPreview;
+import ambertrestle.relay.server.Log;
+import ambertrestle.relay.server.OperatorConfiguration;
+import ambertrestle.relay.server.RelayConfiguration;
+import ambertrestle.relay.server.RelayServer;
+import ambertrestle.relay.toml.TomlDocument;
 import ambertrestle.relay.wire.RosterMessage;
 import ambertrestle.simhost.SimHost;
-import ambertrestle.simhost.WireException;
+import ambertrestle.simhost.WireFormatException;
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
 import java.io.BufferedReader;
@@ -42,7 +42,13 @@
         mixinStandardHelpOptions = true,
         version = "ambertrestle 0.2.0",
         description = "A balancer for long-lived connections.",
-        subcommands = {Cli.ServeIt.class, Cli.Simulate.class, Cli.Check.class, Cli.Place.class, StateCommand.class},
+        subcommands = {
+            Cli.ServeCommand.class,
+            Cli.SimHostCommand.class,
+            Cli.CheckCommand.class,
+            Cli.PlaceCommand.class,
+            StateCommand.class
+        },
         footer = {"", "Exit codes: 0 fine; 1 faulty input, or a start that failed; 2 wrong usage; 143 ended by SIGTERM."
         })
 public final class Cli implements Callable<Integer> {
@@ -60,7 +66,7 @@
     }
 
     @Command(name = "serve", mixinStandardHelpOptions = true, description = "One relay on real sockets, until SIGTERM.")
-    static final class ServeIt implements Callable<Integer> {
+    static final class ServeCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -80,13 +86,13 @@
                 names = "--log-format",
                 paramLabel = "text|json",
                 description = "How the log is written; default: text.")
-        private Log.Form form;
+        private Log.Format form;
 
         @Override
         public Integer call() throws InterruptedException {
-            OperatorFile file = operator == null
-                    ? OperatorFile.NONE
-                    : operatorFile(operator, spec.commandLine().getErr());
+            OperatorConfiguration file = operator == null
+                    ? OperatorConfiguration.DEFAULT
+                    : readOperatorConfiguration(operator, spec.commandLine().getErr());
             if (file == null) {
                 return 1;
             }
@@ -94,7 +100,7 @@
             if (config != null) {
                 environment.put("BALANCER_CONFIG", config);
             }
-            Serve.run(environment, form != null ? form : file.logForm(), file.durable());
+            RelayServer.run(environment, form != null ? form : file.logFormat(), file.persistence());
             // The JVM ends by signal, or by a start that failed; this thread has nothing more to do.
             Thread.currentThread().join();
             return 0;
@@ -105,32 +111,32 @@
             name = "simhost",
             mixinStandardHelpOptions = true,
             description = "Many relays on the simulator's wire: standard input and output.")
-    static final class Simulate implements Callable<Integer> {
+    static final class SimHostCommand implements Callable<Integer> {
         @Override
         public Integer call() {
-            return simulate();
+            return runSimHost();
         }
     }
 
     /** Null where it is faulty, which `err` was told by file, line and key. */
-    public static OperatorFile operatorFile(Path path, PrintWriter err) {
+    public static OperatorConfiguration readOperatorConfiguration(Path path, PrintWriter err) {
         try {
-            return OperatorFile.read(path);
+            return OperatorConfiguration.read(path);
         } catch (IOException e) {
             err.println("ambertrestle: " + e.getMessage());
-        } catch (OperatorFile.Faulty e) {
+        } catch (OperatorConfiguration.InvalidOperatorFileException e) {
             e.faults().forEach(f -> err.println("ambertrestle: " + f));
         }
         return null;
     }
 
     /** Plays the simulator's batches; gives the exit code. */
-    public static int simulate() {
+    public static int runSimHost() {
         try {
             FileOutputStream out = new FileOutputStream(FileDescriptor.out);
             new SimHost(new FileInputStream(FileDescriptor.in), out).run();
             return 0;
-        } catch (WireException e) {
+        } catch (WireFormatException e) {
             System.err.println("ambertrestle: " + e.getMessage());
         } catch (IOException e) {
             System.err.println("ambertrestle: reading or writing failed: " + e.getMessage());
@@ -143,7 +149,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Reads the configuration and an operator file, names every fault by file, line and key, and starts nothing.")
-    static final class Check implements Callable<Integer> {
+    static final class CheckCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -169,15 +175,15 @@
             }
             List<String> faults = new ArrayList<>();
             if (environment.get("BALANCER_CONFIG") != null) {
-                RunSheet.faults(environment).forEach(f -> faults.add(f.toString()));
+                RelayConfiguration.findFaults(environment).forEach(f -> faults.add(f.toString()));
             }
             if (operator != null) {
                 try {
-                    OperatorFile.read(operator);
+                    OperatorConfiguration.read(operator);
                 } catch (IOException e) {
                     faults.add(e.getMessage());
-                } catch (OperatorFile.Faulty e) {
-                    e.faults().stream().map(Sheet.Fault::toString).forEach(faults::add);
+                } catch (OperatorConfiguration.InvalidOperatorFileException e) {
+                    e.faults().stream().map(TomlDocument.Fault::toString).forEach(faults::add);
                 }
             }
             faults.forEach(err::println);
@@ -193,7 +199,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Says for each key which backend a relay just started would pick: one `key backend` a line, `-` for none.")
-    static final class Place implements Callable<Integer> {
+    static final class PlaceCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -219,19 +225,20 @@
         @Override
         public Integer call() throws IOException {
             PrintWriter err = spec.commandLine().getErr();
-            RunSheet sheet;
+            RelayConfiguration sheet;
             RosterMessage message;
             try {
-                sheet = RunSheet.read(Map.of(
+                sheet = RelayConfiguration.read(Map.of(
                         "BALANCER_CONFIG",
                         config,
                         "BALANCER_LISTEN",
                         "127.0.0.1:1",
                         "BALANCER_DISCOVERY",
                         "127.0.0.1:1"));
-                message =
-                        roster == null ? sheet.known() : RosterMessage.decode(new JsonObject(Files.readString(roster)));
-            } catch (RunSheet.BadSheet e) {
+                message = roster == null
+                        ? sheet.initialRoster()
+                        : RosterMessage.decode(new JsonObject(Files.readString(roster)));
+            } catch (RelayConfiguration.InvalidConfigurationException e) {
                 err.println("ambertrestle: " + config + ": " + e.getMessage());
                 return 1;
             } catch (IOException e) {
@@ -244,7 +251,8 @@
                 err.println("ambertrestle: " + roster + " is no roster: " + e.getMessage());
                 return 1;
             }
-            Placement placement = new Placement(sheet.values(), message, System.currentTimeMillis() * 1_000_000);
+            PlacementPreview placement =
+                    new PlacementPreview(sheet.values(), message, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
             int line = 0;
             BufferedReader in = keys.isEmpty()
@@ -258,7 +266,7 @@
                             + " is malformed: expected 1 to 16 digits of hex, not 0, got " + key);
                     return 1;
                 }
-                String backend = placement.pick(Long.parseUnsignedLong(key.strip(), 16));
+                String backend = placement.selectBackend(Long.parseUnsignedLong(key.strip(), 16));
                 out.println(key.strip() + " " + (backend == null ? "-" : backend));
             }
             out.flush();
--- a/relay/src/main/java/ambertrestle/cli/StateCommand.java
+++ b/relay/src/main/java/ambertrestle/cli/StateCommand.java
@@ -1,12 +1,12 @@
 package ambertrestle.cli;
 
-import ambertrestle.decide.Kept;
-import ambertrestle.decide.Kept.Judged;
-import ambertrestle.decide.Kept.Pin;
-import ambertrestle.recover.Aging;
-import ambertrestle.relay.durable.Picture;
-import ambertrestle.relay.durable.StateFile;
+import ambertrestle.decide.LearnedState;
+import ambertrestle.decide.LearnedState.BackendStatistics;
+import ambertrestle.decide.LearnedState.Pin;
+import ambertrestle.relay.persistence.StateFileCodec;
+import ambertrestle.relay.persistence.StateSnapshot;
 import ambertrestle.relay.wire.RosterMessage;
+import ambertrestle.restore.LearnedStateDecay;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -27,7 +27,7 @@
         name = "state",
         mixinStandardHelpOptions = true,
         description = "Reads a file of the folder that [durable] names.",
-        subcommands = {StateCommand.Show.class, StateCommand.Verify.class})
+        subcommands = {StateCommand.ShowCommand.class, StateCommand.VerifyCommand.class})
 final class StateCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -39,12 +39,12 @@
     }
 
     /** Says on standard error why not; null then. */
-    private static Picture read(CommandSpec spec, Path file) {
+    private static StateSnapshot read(CommandSpec spec, Path file) {
         try {
-            return StateFile.decode(Files.readAllBytes(file));
+            return StateFileCodec.decode(Files.readAllBytes(file));
         } catch (IOException e) {
             spec.commandLine().getErr().println("ambertrestle: " + file + " cannot be read");
-        } catch (StateFile.Refused e) {
+        } catch (StateFileCodec.RejectedException e) {
             spec.commandLine().getErr().println("ambertrestle: " + file + " " + e.getMessage());
         }
         return null;
@@ -58,7 +58,7 @@
             name = "verify",
             mixinStandardHelpOptions = true,
             description = "Exit code 0 where the file is whole and readable, 1 and the reason where not.")
-    static final class Verify implements Callable<Integer> {
+    static final class VerifyCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -67,7 +67,7 @@
 
         @Override
         public Integer call() {
-            Picture p = read(spec, file);
+            StateSnapshot p = read(spec, file);
             if (p == null) {
                 return 1;
             }
@@ -76,11 +76,11 @@
                     .printf(
                             "%s: whole, kept by %s at %s: %d backends, %d judged, %d pins%n",
                             file,
-                            p.relay(),
-                            time(p.keptAt()),
-                            p.roster().lines().size(),
-                            p.kept().backends().size(),
-                            p.kept().pins().size());
+                            p.relayName(),
+                            time(p.takenAt()),
+                            p.roster().entries().size(),
+                            p.learnedState().backends().size(),
+                            p.learnedState().pins().size());
             spec.commandLine().getOut().flush();
             return 0;
         }
@@ -91,7 +91,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "What the file holds, and what each judgment would weigh now; pins only by number, or all with --pins.")
-    static final class Show implements Callable<Integer> {
+    static final class ShowCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
@@ -103,56 +103,59 @@
 
         @Override
         public Integer call() {
-            Picture p = read(spec, file);
+            StateSnapshot p = read(spec, file);
             if (p == null) {
                 return 1;
             }
-            show(p, spec.commandLine().getOut(), pins, System.currentTimeMillis() * 1_000_000);
+            printSnapshot(p, spec.commandLine().getOut(), pins, System.currentTimeMillis() * 1_000_000);
             return 0;
         }
     }
 
-    static void show(Picture p, PrintWriter out, boolean pins, long now) {
-        Kept k = p.kept();
+    static void printSnapshot(StateSnapshot p, PrintWriter out, boolean pins, long now) {
+        LearnedState k = p.learnedState();
         Map<Long, String> names = new HashMap<>();
-        p.roster().lines().forEach(l -> names.put(RosterMessage.id(l.name()), l.name()));
+        p.roster().entries().forEach(l -> names.put(RosterMessage.backendId(l.name()), l.name()));
         out.printf(
                 Locale.ROOT,
                 "relay      %s%nkept at    %s, %.1f s ago%n",
-                p.relay(),
-                time(p.keptAt()),
-                (now - p.keptAt()) / 1e9);
+                p.relayName(),
+                time(p.takenAt()),
+                (now - p.takenAt()) / 1e9);
         out.printf(
                 "roster     version %d of %s, heard %s%n",
-                p.roster().index(), p.rosterAt().isEmpty() ? "nobody" : p.rosterAt(), time(p.heardAt()));
+                p.roster().version(),
+                p.rosterAddress().isEmpty() ? "nobody" : p.rosterAddress(),
+                time(p.rosterConfirmedAt()));
         out.printf(
                 Locale.ROOT,
                 "carried    %.2f connections a second lived to their end; a set-up takes %.1f ms; %s%n",
-                k.whole().ended() / (k.whole().lived() / 1e9 + 1),
-                k.whole().setUp() / 1e6,
-                k.whole().pace() > 0
-                        ? "set-ups are spaced by " + k.whole().pace() / 1_000_000 + " ms"
+                k.relayStatistics().completedConnections()
+                        / (k.relayStatistics().observedFor() / 1e9 + 1),
+                k.relayStatistics().typicalSetUpTime() / 1e6,
+                k.relayStatistics().setUpInterval() > 0
+                        ? "set-ups are spaced by " + k.relayStatistics().setUpInterval() / 1_000_000 + " ms"
                         : "set-ups are not spaced");
         out.printf("%n%-24s %-9s %-24s %s%n", "backend", "stage", "started", "address");
-        for (RosterMessage.Line l : p.roster().lines()) {
+        for (RosterMessage.Entry l : p.roster().entries()) {
             out.printf(
                     "%-24s %-9s %-24s %s%n",
                     l.name(),
                     l.stage().name().toLowerCase(Locale.ROOT),
-                    l.sinceMillis() == 0 ? "long ago" : Instant.ofEpochMilli(l.sinceMillis()),
+                    l.startedAtMillis() == 0 ? "long ago" : Instant.ofEpochMilli(l.startedAtMillis()),
                     l.address());
         }
         out.printf("%n%-24s %8s %8s %8s %9s %7s%n", "judged", "stood", "failed", "slow", "late ms", "weight");
-        for (Judged j : k.backends()) {
+        for (BackendStatistics j : k.backends()) {
             out.printf(
                     Locale.ROOT,
                     "%-24s %8.2f %8.2f %8.2f %9d %7.3f%n",
                     names.getOrDefault(j.backend(), Long.toHexString(j.backend())),
-                    j.good(),
-                    j.bad(),
-                    j.slow(),
-                    j.delay() / 1_000_000,
-                    Aging.doubt(now - j.evidenceAt()));
+                    j.successes(),
+                    j.failures(),
+                    j.sharedCauseFailures(),
+                    j.reportedDelay() / 1_000_000,
+                    LearnedStateDecay.failureEvidenceWeight(now - j.evidenceUpdatedAt()));
         }
         out.printf("%n%d pins%n", k.pins().size());
         for (Pin pin : pins ? k.pins() : java.util.List.<Pin>of()) {
@@ -160,7 +163,7 @@
                     "%016x %-24s %s%n",
                     pin.key(),
                     names.getOrDefault(pin.backend(), Long.toHexString(pin.backend())),
-                    pin.endedAt() == Pin.OPEN ? "open" : time(pin.endedAt()));
+                    pin.unusedSince() == Pin.IN_USE ? "open" : time(pin.unusedSince()));
         }
         out.flush();
     }
--- a/relay/src/main/java/ambertrestle/relay/memory/Connection.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Connection.java
@@ -1,58 +1,58 @@
-package ambertrestle.relay.memory;
+package ambertrestle.relay.connection;
 
 import ambertrestle.decide.Association;
-import ambertrestle.relay.wire.FromClient;
+import ambertrestle.relay.wire.ClientMessage;
 import java.util.ArrayDeque;
 
 /** One client's connection, and the backend's that serves it. Times in nanoseconds. */
 final class Connection {
-    enum Stage {
+    enum State {
         /** Nothing was asked yet. */
-        SILENT,
+        AWAITING_OPEN,
         /** Its association is with the module: waiting, or a dispatch is out. */
-        PLACING,
+        DISPATCHING,
         /** Up at a backend; lines pass. */
         OPEN,
         /** The final answer is given or the end is passed on; only sockets are left. */
-        OVER
+        CLOSING
     }
 
-    final long client;
-    Stage stage = Stage.SILENT;
-    boolean clientGone;
-    boolean asked;
+    final long clientSocket;
+    State state = State.AWAITING_OPEN;
+    boolean isClientClosed;
+    boolean hasPinged;
     Association association;
-    FromClient.Opening opening;
+    ClientMessage.OpenRequest openRequest;
     /**
      * The dispatch that is out: its socket, 0 while none; `handed`: its line is with the socket; `written`: it is out.
      */
     long backendSocket;
 
-    int dispatch;
-    long backend;
-    long sentAt;
+    int dispatchIndex;
+    long backendId;
+    long dispatchedAt;
     /**
      * How long its backend has for an answer, from when the line was handed to its socket; `over`: that was up once.
      */
-    long patience;
+    long responseTimeout;
 
-    boolean over;
-    boolean handed;
-    boolean written;
+    boolean hasTimedOutOnce;
+    boolean isFirstLineQueued;
+    boolean isFirstLineWritten;
     /** It was open at that backend before this relay started, and goes back there. */
-    boolean standing;
+    boolean isResumption;
     /** The backend said that the connection is served to its end, or sent the client away. */
-    boolean saidBye;
+    boolean hasReceivedBye;
 
-    boolean saidMove;
+    boolean hasReceivedMove;
     /** Lines that came before the connection was up. */
-    final ArrayDeque<byte[]> early = new ArrayDeque<>();
+    final ArrayDeque<byte[]> bufferedLines = new ArrayDeque<>();
     /** When the client's lines that brought nothing back yet were passed on, oldest first. */
-    final ArrayDeque<Long> unanswered = new ArrayDeque<>();
+    final ArrayDeque<Long> unansweredSentAt = new ArrayDeque<>();
 
-    Dues.Due due;
+    ConnectionTimers.Timer timer;
 
     Connection(long client) {
-        this.client = client;
+        this.clientSocket = client;
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/InUse.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/DirectoryInUseException.java
@@ -1,12 +1,12 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
 import java.io.IOException;
 
 /** Another process, or another relay of this one, holds the folder. */
-public final class InUse extends IOException {
+public final class DirectoryInUseException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    InUse() {
+    DirectoryInUseException() {
         super("is in use by another relay");
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/RealDisk.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/FileSystemStorage.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 
 /** The folder itself. Owns the lock on it, which the system takes back when the process ends, however it ends. */
-final class RealDisk implements Disk {
+final class FileSystemStorage implements Storage {
     private static final String LOCK = "lock";
 
     private final Path folder;
     private FileChannel channel;
 
-    RealDisk(Path folder) {
+    FileSystemStorage(Path folder) {
         this.folder = folder;
     }
 
@@ -38,7 +38,7 @@
         }
         if (lock == null) {
             close();
-            throw new InUse();
+            throw new DirectoryInUseException();
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> listFileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(f -> f.getFileName().toString()).sorted().toList();
         } catch (java.io.UncheckedIOException e) {
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
--- a/relay/src/main/java/ambertrestle/relay/durable/Recovery.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/Recovery.java
@@ -1,8 +1,8 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
-import ambertrestle.decide.Kept;
-import ambertrestle.recover.Aging;
+import ambertrestle.decide.LearnedState;
 import ambertrestle.relay.wire.RosterMessage;
+import ambertrestle.restore.LearnedStateDecay;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,7 +11,7 @@
 /** What a relay begins with, of what was kept and what its configuration says. Pure: values in, values out. */
 public final class Recovery {
     /** Where the list comes from. */
-    public enum From {
+    public enum RosterSource {
         NOTHING,
         KNOWN,
         KEPT
@@ -22,23 +22,23 @@
      * ago that any backend of it may have started since. `comparable`: the roster service's versions go on from the
      * list's.
      */
-    public record Beginning(
-            From from,
-            RosterMessage list,
-            long heardAt,
-            boolean unseen,
-            boolean comparable,
-            Kept kept,
-            List<Said> said) {
+    public record InitialState(
+            RosterSource rosterSource,
+            RosterMessage roster,
+            long rosterConfirmedAt,
+            boolean isRosterStale,
+            boolean hasComparableVersions,
+            LearnedState learnedState,
+            List<LogMessage> logMessages) {
         /** Nothing is kept: the configuration's list as it is. */
-        public static Beginning known(RosterMessage known) {
-            return new Beginning(
-                    known.lines().isEmpty() ? From.NOTHING : From.KNOWN,
+        public static InitialState fromConfiguration(RosterMessage known) {
+            return new InitialState(
+                    known.entries().isEmpty() ? RosterSource.NOTHING : RosterSource.KNOWN,
                     known,
                     0,
                     false,
                     true,
-                    Kept.NOTHING,
+                    LearnedState.EMPTY,
                     List.of());
         }
     }
@@ -49,48 +49,48 @@
      * `kept`: the newest whole picture, or null. `sure`: a list heard no longer ago than this stands as it is. The list
      * with the higher version wins; of two alike, the kept one, whose age is known.
      */
-    public static Beginning begin(RosterMessage known, Picture kept, String rosterAt, long sure, long now) {
+    public static InitialState recover(RosterMessage known, StateSnapshot kept, String rosterAt, long sure, long now) {
         if (kept == null) {
-            return Beginning.known(known);
+            return InitialState.fromConfiguration(known);
         }
-        List<Said> said = new ArrayList<>();
-        boolean future = kept.keptAt() > now || kept.heardAt() > now;
+        List<LogMessage> said = new ArrayList<>();
+        boolean future = kept.takenAt() > now || kept.rosterConfirmedAt() > now;
         if (future) {
-            said.add(new Said(
+            said.add(new LogMessage(
                     true,
                     "state-weighed",
                     "what was kept is from the future, a clock went back: its list counts as of unknown age, "
                             + "the rest is not taken",
                     Map.of("reason", "future")));
         }
-        boolean sameService = kept.rosterAt().equals(rosterAt);
-        if (!sameService && !kept.rosterAt().isEmpty()) {
-            said.add(new Said(
+        boolean sameService = kept.rosterAddress().equals(rosterAt);
+        if (!sameService && !kept.rosterAddress().isEmpty()) {
+            said.add(new LogMessage(
                     false,
                     "state-weighed",
-                    "the list was kept of another roster service, at " + kept.rosterAt()
+                    "the list was kept of another roster service, at " + kept.rosterAddress()
                             + ": the whole list is asked for",
                     Map.of("reason", "other-roster")));
         }
-        boolean keptList = !kept.roster().lines().isEmpty()
-                && (known.lines().isEmpty()
+        boolean keptList = !kept.roster().entries().isEmpty()
+                && (known.entries().isEmpty()
                         || !sameService
-                        || known.index() <= kept.roster().index());
+                        || known.version() <= kept.roster().version());
         RosterMessage list = keptList ? kept.roster() : known;
-        long heardAt = keptList && !future ? kept.heardAt() : 0;
+        long heardAt = keptList && !future ? kept.rosterConfirmedAt() : 0;
         boolean unseen = heardAt == 0 || now - heardAt > sure;
-        return new Beginning(
-                list.lines().isEmpty() ? From.NOTHING : keptList ? From.KEPT : From.KNOWN,
+        return new InitialState(
+                list.entries().isEmpty() ? RosterSource.NOTHING : keptList ? RosterSource.KEPT : RosterSource.KNOWN,
                 list,
                 heardAt,
                 unseen,
                 !keptList || sameService,
-                future ? Kept.NOTHING : Aging.weighed(kept.kept(), kept.keptAt(), now),
+                future ? LearnedState.EMPTY : LearnedStateDecay.decay(kept.learnedState(), kept.takenAt(), now),
                 said);
     }
 
     /** For a person: seconds with one digit, or what is not known. */
-    static String ago(long heardAt, long now) {
+    static String formatAge(long heardAt, long now) {
         return heardAt == 0 ? "at an unknown time" : String.format(Locale.ROOT, "%.1f s ago", (now - heardAt) / 1e9);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/Mirror.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotBuilder.java
@@ -1,8 +1,8 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
-import ambertrestle.decide.Kept;
-import ambertrestle.decide.Kept.Judged;
-import ambertrestle.decide.Kept.Pin;
+import ambertrestle.decide.LearnedState;
+import ambertrestle.decide.LearnedState.BackendStatistics;
+import ambertrestle.decide.LearnedState.Pin;
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,61 +16,66 @@
  * Whoever writes it owns it; no I/O here. It holds what the relay itself holds and no more: a pin that went there goes
  * here.
  */
-public final class Mirror {
+public final class SnapshotBuilder {
     private final String relay;
     private String rosterAt = "";
     private long heardAt;
     private RosterMessage list = new RosterMessage(-1, true, List.of());
-    private final Map<Long, Judged> judged = new HashMap<>();
+    private final Map<Long, BackendStatistics> judged = new HashMap<>();
     /** Least lately changed first. */
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>();
 
     private long table;
-    private Kept.Whole whole = Kept.Whole.NOTHING;
+    private LearnedState.RelayStatistics relayStatistics = LearnedState.RelayStatistics.EMPTY;
 
-    public Mirror(String relay) {
+    public SnapshotBuilder(String relay) {
         this.relay = relay;
     }
 
     /** Begins with the list that the relay begins with, so that one that never hears another does not lose it. */
-    public void begin(String from, long at, RosterMessage list) {
-        heard(from, at);
-        take(list);
+    public void setInitialRoster(String from, long at, RosterMessage list) {
+        onRosterConfirmed(from, at);
+        apply(list);
     }
 
     /** The list as that service has it, whole or what changed. */
-    public void take(RosterMessage message) {
-        list = list.after(message);
+    public void apply(RosterMessage message) {
+        list = list.withUpdate(message);
     }
 
-    public void heard(String from, long at) {
+    public void onRosterConfirmed(String from, long at) {
         rosterAt = from;
         heardAt = Math.max(heardAt, at);
     }
 
-    public void take(Kept changes) {
-        table = changes.table();
-        whole = changes.whole();
-        for (Judged j : changes.backends()) {
+    public void apply(LearnedState changes) {
+        table = changes.tableFormat();
+        relayStatistics = changes.relayStatistics();
+        for (BackendStatistics j : changes.backends()) {
             judged.put(j.backend(), j);
         }
         for (Pin p : changes.pins()) {
             pins.remove(p.key());
-            if (p.endedAt() != Pin.GONE) {
+            if (p.unusedSince() != Pin.REMOVED) {
                 pins.put(p.key(), p);
             }
         }
     }
 
     /** All of it now: judgments of backends that are listed, the pins changed last at the end. */
-    public Picture picture(long now) {
+    public StateSnapshot build(long now) {
         judged.keySet()
-                .retainAll(list.lines().stream()
-                        .map(l -> RosterMessage.id(l.name()))
+                .retainAll(list.entries().stream()
+                        .map(l -> RosterMessage.backendId(l.name()))
                         .collect(Collectors.toSet()));
-        List<Judged> sorted = new ArrayList<>(judged.values());
+        List<BackendStatistics> sorted = new ArrayList<>(judged.values());
         sorted.sort((x, y) -> Long.compareUnsigned(x.backend(), y.backend()));
-        return new Picture(
-                relay, rosterAt, now, heardAt, list, new Kept(table, whole, sorted, List.copyOf(pins.values()), false));
+        return new StateSnapshot(
+                relay,
+                rosterAt,
+                now,
+                heardAt,
+                list,
+                new LearnedState(table, relayStatistics, sorted, List.copyOf(pins.values()), false));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/Folder.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotDirectory.java
@@ -1,7 +1,7 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
-import ambertrestle.relay.durable.StateFile.Reason;
-import ambertrestle.relay.durable.StateFile.Refused;
+import ambertrestle.relay.persistence.StateFileCodec.RejectedException;
+import ambertrestle.relay.persistence.StateFileCodec.RejectionReason;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,27 +13,27 @@
  * under another, synced, renamed, and the folder synced, before the generation before the last goes. One user at a
  * time.
  */
-final class Folder {
+final class SnapshotDirectory {
     private static final Pattern NAME = Pattern.compile("state-(\\d{18})"),
-            HALF = Pattern.compile("state-\\d{18}\\.new");
+            TEMPORARY_NAME = Pattern.compile("state-\\d{18}\\.new");
     private static final int GENERATIONS = 2;
 
-    private final Disk disk;
+    private final Storage disk;
     private final String relay;
     private final long mostAge;
     private final long mostBytes;
     /** Files that are this relay's to delete, oldest first. */
-    private final List<String> ours = new ArrayList<>();
+    private final List<String> ownFiles = new ArrayList<>();
 
     private long generation;
 
     /** One file that was not taken, and why. */
-    record Passed(String file, Refused why) {}
+    record RejectedFile(String file, RejectedException cause) {}
 
     /** The newest that is whole and this relay's, or null, and those passed over before it was met. */
-    record Found(Picture picture, List<Passed> passed) {}
+    record ReadResult(StateSnapshot snapshot, List<RejectedFile> rejectedFiles) {}
 
-    Folder(Disk disk, String relay, long mostAge, long mostBytes) {
+    SnapshotDirectory(Storage disk, String relay, long mostAge, long mostBytes) {
         this.disk = disk;
         this.relay = relay;
         this.mostAge = mostAge;
@@ -41,59 +41,60 @@
     }
 
     /** Reads it all; call it once, before the first write. */
-    Found read(long now) throws IOException {
-        List<String> files = new ArrayList<>(
-                disk.names().stream().filter(n -> NAME.matcher(n).matches()).toList());
+    ReadResult readNewest(long now) throws IOException {
+        List<String> files = new ArrayList<>(disk.listFileNames().stream()
+                .filter(n -> NAME.matcher(n).matches())
+                .toList());
         files.sort(Comparator.reverseOrder());
-        Picture found = null;
-        List<Passed> passed = new ArrayList<>();
+        StateSnapshot found = null;
+        List<RejectedFile> passed = new ArrayList<>();
         for (String file : files) {
             generation = Math.max(generation, Long.parseLong(file.substring(6)));
             try {
-                Picture picture = picture(file, now);
+                StateSnapshot picture = picture(file, now);
                 if (found == null) {
                     found = picture;
                 }
-                ours.add(0, file);
-            } catch (Refused e) {
+                ownFiles.add(0, file);
+            } catch (RejectedException e) {
                 if (found == null) {
-                    passed.add(new Passed(file, e));
+                    passed.add(new RejectedFile(file, e));
                 }
                 // What another relay or a later version may still want is left where it is.
-                if (e.reason == Reason.TORN
-                        || e.reason == Reason.CHECKSUM
-                        || e.reason == Reason.MALFORMED
-                        || e.reason == Reason.TOO_OLD) {
-                    ours.add(0, file);
+                if (e.reason == RejectionReason.TORN
+                        || e.reason == RejectionReason.CHECKSUM
+                        || e.reason == RejectionReason.MALFORMED
+                        || e.reason == RejectionReason.TOO_OLD) {
+                    ownFiles.add(0, file);
                 }
             }
         }
-        return new Found(found, passed);
+        return new ReadResult(found, passed);
     }
 
-    private Picture picture(String file, long now) throws Refused {
+    private StateSnapshot picture(String file, long now) throws RejectedException {
         byte[] bytes;
         try {
             // Danger: whatever stands under that name is read into memory; a relay must not die of it.
             if (disk.size(file) > mostBytes) {
-                throw new Refused(Reason.TOO_LARGE, disk.size(file) + " bytes");
+                throw new RejectedException(RejectionReason.TOO_LARGE, disk.size(file) + " bytes");
             }
             bytes = disk.read(file);
         } catch (IOException e) {
-            throw new Refused(Reason.UNREADABLE, String.valueOf(e.getMessage()));
+            throw new RejectedException(RejectionReason.UNREADABLE, String.valueOf(e.getMessage()));
         }
-        Picture picture = StateFile.decode(bytes);
-        if (!picture.relay().equals(relay)) {
-            throw new Refused(Reason.OTHER_RELAY, picture.relay());
+        StateSnapshot picture = StateFileCodec.decode(bytes);
+        if (!picture.relayName().equals(relay)) {
+            throw new RejectedException(RejectionReason.OTHER_RELAY, picture.relayName());
         }
-        if (now - picture.keptAt() > mostAge) {
-            throw new Refused(Reason.TOO_OLD, (now - picture.keptAt()) / 1_000_000_000L + " s");
+        if (now - picture.takenAt() > mostAge) {
+            throw new RejectedException(RejectionReason.TOO_OLD, (now - picture.takenAt()) / 1_000_000_000L + " s");
         }
         return picture;
     }
 
     /** Keeps one more generation. Where it throws, the one before is still whole. */
-    void write(byte[] file) throws IOException {
+    void writeGeneration(byte[] file) throws IOException {
         long next = generation + 1;
         String name = String.format(java.util.Locale.ROOT, "state-%018d", next);
         String half = name + ".new";
@@ -102,20 +103,20 @@
         try {
             disk.write(half, file);
             disk.rename(half, name);
-            ours.add(name);
-            disk.syncNames();
+            ownFiles.add(name);
+            disk.syncDirectory();
         } catch (IOException e) {
-            clear(half);
+            deleteTemporaryFile(half);
             throw e;
         }
-        while (ours.size() > GENERATIONS) {
-            disk.delete(ours.get(0));
-            ours.remove(0);
+        while (ownFiles.size() > GENERATIONS) {
+            disk.delete(ownFiles.get(0));
+            ownFiles.remove(0);
         }
     }
 
     /** Danger: on a full disk what is half written would keep it full. */
-    private void clear(String half) {
+    private void deleteTemporaryFile(String half) {
         try {
             disk.delete(half);
         } catch (IOException e) {
@@ -124,9 +125,9 @@
     }
 
     /** What earlier processes left half written. */
-    void clearHalves() throws IOException {
-        for (String name : disk.names()) {
-            if (HALF.matcher(name).matches()) {
+    void deleteTemporaryFiles() throws IOException {
+        for (String name : disk.listFileNames()) {
+            if (TEMPORARY_NAME.matcher(name).matches()) {
                 disk.delete(name);
             }
         }
