--- a/relay/src/main/java/ambertrestle/relay/durable/Start.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StartupProgress.java
@@ -1,7 +1,7 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
-import ambertrestle.decide.Listed.Stage;
-import ambertrestle.relay.durable.Recovery.Beginning;
+import ambertrestle.decide.RosterEntry.Stage;
+import ambertrestle.relay.persistence.Recovery.InitialState;
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.HashMap;
 import java.util.Locale;
@@ -12,80 +12,81 @@
  * converged once that stays so. A state machine over what is heard and the time; it decides nothing about backends.
  * Nanoseconds.
  */
-public final class Start {
+public final class StartupProgress {
     /**
      * ON_OLD_LIST: the roster service is not heard yet. CONVERGING: it was. CONVERGED: its watch lasted
-     * {@link #STEADY}.
+     * {@link #STABLE_WATCH_NANOS}.
      */
-    public enum At {
-        ON_OLD_LIST,
+    public enum Phase {
+        AWAITING_ROSTER,
         CONVERGING,
         CONVERGED
     }
 
     /** Danger: a roster service that answers one line and dies again would pass for one that is back. */
-    static final long STEADY = 3_000_000_000L;
+    static final long STABLE_WATCH_NANOS = 3_000_000_000L;
 
-    private final Beginning beginning;
+    private final InitialState beginning;
     private final long begunAt;
-    private At at = At.ON_OLD_LIST;
+    private Phase phase = Phase.AWAITING_ROSTER;
     private long steadySince;
-    private int broken;
-    private boolean told;
+    private int watchFailures;
+    private boolean startLogged;
 
-    public Start(Beginning beginning, long now) {
+    public StartupProgress(InitialState beginning, long now) {
         this.beginning = beginning;
         begunAt = now;
     }
 
-    public At at() {
-        return at;
+    public Phase phase() {
+        return phase;
     }
 
     /** When it wants to be asked again. */
     public long wakeAt() {
-        return at == At.CONVERGING ? steadySince + STEADY : Long.MAX_VALUE;
+        return phase == Phase.CONVERGING ? steadySince + STABLE_WATCH_NANOS : Long.MAX_VALUE;
     }
 
-    private Said begun() {
-        int backends = beginning.list().lines().size();
+    private LogMessage begun() {
+        int backends = beginning.roster().entries().size();
         String which =
-                switch (beginning.from()) {
+                switch (beginning.rosterSource()) {
                     case NOTHING -> "with no list: it waits for the roster service";
                     case KNOWN -> "with the configuration's list of " + backends + " backends";
                     case KEPT -> "with the kept list of " + backends + " backends, heard "
-                            + Recovery.ago(beginning.heardAt(), begunAt);
+                            + Recovery.formatAge(beginning.rosterConfirmedAt(), begunAt);
                 };
-        return new Said(
+        return new LogMessage(
                 false,
-                "start-from-" + beginning.from().name().toLowerCase(Locale.ROOT),
-                "begins " + which + (beginning.unseen() ? "; until the roster service is heard all count as cold" : ""),
+                "start-from-" + beginning.rosterSource().name().toLowerCase(Locale.ROOT),
+                "begins " + which
+                        + (beginning.isRosterStale() ? "; until the roster service is heard all count as cold" : ""),
                 Map.of(
                         "backends",
                         Integer.toString(backends),
                         "judged",
-                        Integer.toString(beginning.kept().backends().size()),
+                        Integer.toString(beginning.learnedState().backends().size()),
                         "pins",
-                        Integer.toString(beginning.kept().pins().size())));
+                        Integer.toString(beginning.learnedState().pins().size())));
     }
 
     /** The roster service said something; `list`: what now holds. Null where there is nothing to tell. */
-    public Said heard(RosterMessage list, long now) {
-        if (at != At.ON_OLD_LIST) {
-            steadySince = steadySince == Long.MAX_VALUE - STEADY ? now : steadySince;
+    public LogMessage onRosterMessage(RosterMessage list, long now) {
+        if (phase != Phase.AWAITING_ROSTER) {
+            steadySince = steadySince == Long.MAX_VALUE - STABLE_WATCH_NANOS ? now : steadySince;
             return null;
         }
-        at = At.CONVERGING;
+        phase = Phase.CONVERGING;
         steadySince = now;
-        Map<String, RosterMessage.Line> before = new HashMap<>();
-        beginning.list().lines().forEach(l -> before.put(l.name(), l));
+        Map<String, RosterMessage.Entry> before = new HashMap<>();
+        beginning.roster().entries().forEach(l -> before.put(l.name(), l));
         int fresh = 0;
         int restarted = 0;
         int draining = 0;
-        for (RosterMessage.Line l : list.lines()) {
-            RosterMessage.Line old = before.remove(l.name());
+        for (RosterMessage.Entry l : list.entries()) {
+            RosterMessage.Entry old = before.remove(l.name());
             fresh += old == null ? 1 : 0;
-            restarted += old != null && old.sinceMillis() != l.sinceMillis() ? 1 : 0;
+            restarted += old != null && old.startedAtMillis() != l.startedAtMillis() ? 1 : 0;
             draining += old != null && old.stage() == Stage.READY && l.stage() == Stage.DRAINING ? 1 : 0;
         }
         String line = String.format(
@@ -97,7 +98,7 @@
                 fresh,
                 restarted,
                 draining);
-        return new Said(
+        return new LogMessage(
                 false,
                 "converging",
                 line,
@@ -113,28 +114,28 @@
     }
 
     /** The watch on the roster ended. */
-    public void broke() {
-        broken++;
-        if (at == At.CONVERGING) {
-            steadySince = Long.MAX_VALUE - STEADY;
+    public void onWatchEnded() {
+        watchFailures++;
+        if (phase == Phase.CONVERGING) {
+            steadySince = Long.MAX_VALUE - STABLE_WATCH_NANOS;
         }
     }
 
     /** First what it begins with; null while there is nothing to tell. */
-    public Said woke(long now) {
-        if (!told) {
-            told = true;
+    public LogMessage onTimer(long now) {
+        if (!startLogged) {
+            startLogged = true;
             return begun();
         }
-        if (at != At.CONVERGING || now < wakeAt()) {
+        if (phase != Phase.CONVERGING || now < wakeAt()) {
             return null;
         }
-        at = At.CONVERGED;
-        return new Said(
+        phase = Phase.CONVERGED;
+        return new LogMessage(
                 false,
                 "converged",
                 String.format(
                         Locale.ROOT, "the list is the roster service's, %.1f s after the start", (now - begunAt) / 1e9),
-                Map.of("broken", Integer.toString(broken)));
+                Map.of("broken", Integer.toString(watchFailures)));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/durable/Disk.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/Storage.java
@@ -1,17 +1,20 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
 import java.io.IOException;
 import java.util.List;
 
 /** One folder's files, and each step of keeping one that can fail by itself; tests put failures in its place. */
-interface Disk extends AutoCloseable {
-    /** Returns once it is held, also where it was before; throws {@link InUse} while another relay holds it. */
+interface Storage extends AutoCloseable {
+    /**
+     * Returns once it is held, also where it was before; throws {@link DirectoryInUseException} while another relay
+     * holds it.
+     */
     void lock() throws IOException;
 
     @Override
     void close() throws IOException;
 
-    List<String> names() throws IOException;
+    List<String> listFileNames() throws IOException;
 
     long size(String name) throws IOException;
 
@@ -24,7 +27,7 @@
     void rename(String from, String to) throws IOException;
 
     /** Returns once the device has the folder's names. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     void delete(String name) throws IOException;
 }
--- a/relay/src/main/java/ambertrestle/relay/life/KeyLines.java
+++ b/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -12,11 +12,11 @@
 import java.util.Map;
 
 /** In which line of a JSON file each key stands, so that a fault can be told by its place. */
-final class KeyLines {
+final class JsonLineIndex {
     private final Map<String, Integer> lines = new HashMap<>();
-    private int brokenAt;
+    private int syntaxErrorLine;
 
-    KeyLines(String text) {
+    JsonLineIndex(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token != JsonToken.END_OBJECT && token != JsonToken.END_ARRAY) {
@@ -26,15 +26,15 @@
                 }
             }
         } catch (JsonProcessingException e) {
-            brokenAt = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
+            syntaxErrorLine = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** Where the text stops being JSON; 0 where it does not. */
-    int brokenAt() {
-        return brokenAt;
+    int syntaxErrorLine() {
+        return syntaxErrorLine;
     }
 
     private static String path(JsonStreamContext at) {
@@ -46,7 +46,7 @@
     }
 
     /** The line of a key as a fault names it, else that of the nearest table that holds it, else the first. */
-    int of(String key) {
+    int lineOf(String key) {
         String path = key.replace("settings: ", "settings.").toLowerCase(Locale.ROOT);
         while (true) {
             for (String end : new String[] {"", "us"}) {
--- a/relay/src/main/java/ambertrestle/relay/life/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/server/Log.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -23,48 +23,48 @@
  */
 public final class Log {
     /** How lines are written. */
-    public enum Form {
+    public enum Format {
         TEXT,
         JSON
     }
 
     private static final Logger LOG = System.getLogger("ambertrestle");
     /** Rides on a log record as its parameter. */
-    private record Happening(String event, Map<String, String> fields) {}
+    private record LogEvent(String event, Map<String, String> fields) {}
 
     private static String relay = "";
 
     private Log() {}
 
     /** Before the first line; `name` is the relay's, a field of every line in JSON. */
-    static void begin(Form form, String name) {
+    static void configure(Format form, String name) {
         relay = name;
-        Formatter formatter = form == Form.JSON ? new Json() : new Text();
+        Formatter formatter = form == Format.JSON ? new JsonFormatter() : new TextFormatter();
         for (Handler handler : java.util.logging.Logger.getLogger("").getHandlers()) {
             handler.setFormatter(formatter);
         }
     }
 
-    static void tell(Level level, String event, String line, Map<String, String> fields) {
-        LOG.log(level, line, new Happening(event, fields));
+    static void log(Level level, String event, String line, Map<String, String> fields) {
+        LOG.log(level, line, new LogEvent(event, fields));
     }
 
-    static void tell(Level level, String event, String line) {
-        tell(level, event, line, Map.of());
+    static void log(Level level, String event, String line) {
+        log(level, event, line, Map.of());
     }
 
-    static void failed(String event, String line, Throwable why) {
+    static void logFailure(String event, String line, Throwable why) {
         StringWriter trace = new StringWriter();
         why.printStackTrace(new PrintWriter(trace));
-        tell(Level.ERROR, event, line, Map.of("trace", trace.toString().strip()));
+        log(Level.ERROR, event, line, Map.of("trace", trace.toString().strip()));
     }
 
     /** Lines of libraries have no happening: their logger's name stands for the event. */
-    private static Happening happening(LogRecord record) {
+    private static LogEvent eventOf(LogRecord record) {
         Object[] riding = record.getParameters();
-        return riding != null && riding.length == 1 && riding[0] instanceof Happening h
+        return riding != null && riding.length == 1 && riding[0] instanceof LogEvent h
                 ? h
-                : new Happening(String.valueOf(record.getLoggerName()), Map.of());
+                : new LogEvent(String.valueOf(record.getLoggerName()), Map.of());
     }
 
     private static String level(LogRecord record) {
@@ -73,13 +73,13 @@
                 : record.getLevel().getName();
     }
 
-    static final class Text extends Formatter {
+    static final class TextFormatter extends Formatter {
         private static final DateTimeFormatter TIME =
                 DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
         @Override
         public String format(LogRecord record) {
-            Happening h = happening(record);
+            LogEvent h = eventOf(record);
             StringBuilder out = new StringBuilder(160);
             TIME.formatTo(record.getInstant(), out);
             out.append(' ')
@@ -101,12 +101,12 @@
         }
     }
 
-    static final class Json extends Formatter {
+    static final class JsonFormatter extends Formatter {
         private final JsonFactory factory = new JsonFactory();
 
         @Override
         public String format(LogRecord record) {
-            Happening h = happening(record);
+            LogEvent h = eventOf(record);
             StringWriter out = new StringWriter(240);
             try (JsonGenerator json = factory.createGenerator(out)) {
                 json.writeStartObject();
--- a/relay/src/main/java/ambertrestle/relay/life/RunSheet.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -1,12 +1,12 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
 import ambertrestle.decide.Balancer;
-import ambertrestle.relay.memory.RunValues;
-import ambertrestle.relay.sheet.Sheet;
+import ambertrestle.relay.connection.ReducerConfiguration;
+import ambertrestle.relay.toml.TomlDocument;
 import ambertrestle.relay.wire.Address;
-import ambertrestle.relay.wire.Names;
+import ambertrestle.relay.wire.ConfiguredNames;
 import ambertrestle.relay.wire.RosterMessage;
-import ambertrestle.ticket.Ticket;
+import ambertrestle.settings.SettingsParser;
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -20,19 +20,24 @@
 import java.util.stream.Collectors;
 
 /** The one place where configuration is read, checked and given defaults. */
-public record RunSheet(
-        String name, Address listen, int connectMillis, Names names, RosterMessage known, RunValues values) {
+public record RelayConfiguration(
+        String name,
+        Address listenAddress,
+        int connectTimeoutMillis,
+        ConfiguredNames names,
+        RosterMessage initialRoster,
+        ReducerConfiguration values) {
     /** Descriptors kept for the JVM's own files, the selector, the roster watch and connections being refused. */
-    private static final int OWN_SOCKETS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     /** Something is missing or malformed; the message names the first faulty key and what was expected. */
-    public static final class BadSheet extends Exception {
+    public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
         private final String key;
         /** This one and those found after it. */
-        private final transient List<BadSheet> all = new ArrayList<>(List.of(this));
+        private final transient List<InvalidConfigurationException> all = new ArrayList<>(List.of(this));
 
-        BadSheet(String key, String expected) {
+        InvalidConfigurationException(String key, String expected) {
             super(key + " " + expected);
             this.key = key;
         }
@@ -40,24 +45,24 @@
 
     /** Reads on past a fault, so that one reading finds all. */
     private static final class Faults {
-        private final List<BadSheet> found = new ArrayList<>();
+        private final List<InvalidConfigurationException> found = new ArrayList<>();
 
         private interface Reading<T> {
-            T read() throws BadSheet;
+            T read() throws InvalidConfigurationException;
         }
 
         <T> T or(T otherwise, Reading<T> reading) {
             try {
                 return reading.read();
-            } catch (BadSheet e) {
+            } catch (InvalidConfigurationException e) {
                 found.add(e);
                 return otherwise;
             }
         }
 
-        void end() throws BadSheet {
+        void end() throws InvalidConfigurationException {
             if (!found.isEmpty()) {
-                BadSheet first = found.get(0);
+                InvalidConfigurationException first = found.get(0);
                 first.all.addAll(found.subList(1, found.size()));
                 throw first;
             }
@@ -65,45 +70,47 @@
     }
 
     /** Every fault of the file that the environment names, with its line; empty where a relay would start with it. */
-    public static List<Sheet.Fault> faults(Map<String, String> environment) {
+    public static List<TomlDocument.Fault> findFaults(Map<String, String> environment) {
         String path = environment.getOrDefault("BALANCER_CONFIG", "");
-        KeyLines lines = new KeyLines("");
+        JsonLineIndex lines = new JsonLineIndex("");
         try {
             String text = Files.readString(Path.of(path));
-            lines = new KeyLines(text);
-            if (lines.brokenAt() > 0) {
-                return List.of(new Sheet.Fault(path, lines.brokenAt(), "", "is not JSON from here on"));
+            lines = new JsonLineIndex(text);
+            if (lines.syntaxErrorLine() > 0) {
+                return List.of(new TomlDocument.Fault(path, lines.syntaxErrorLine(), "", "is not JSON from here on"));
             }
-            RunSheet sheet = read(environment);
-            new Balancer(sheet.values.jobTicket(), sheet.values.seed(), 0);
+            RelayConfiguration sheet = read(environment);
+            new Balancer(sheet.values.settings(), sheet.values.seed(), 0);
             return List.of();
         } catch (IOException e) {
-            return List.of(new Sheet.Fault(path, 1, "", "cannot be read"));
-        } catch (BadSheet e) {
-            List<Sheet.Fault> faults = new ArrayList<>();
-            for (BadSheet fault : e.all) {
+            return List.of(new TomlDocument.Fault(path, 1, "", "cannot be read"));
+        } catch (InvalidConfigurationException e) {
+            List<TomlDocument.Fault> faults = new ArrayList<>();
+            for (InvalidConfigurationException fault : e.all) {
                 String key = fault.key;
-                faults.add(new Sheet.Fault(
-                        path, lines.of(key), key, fault.getMessage().substring(key.length() + 1)));
+                faults.add(new TomlDocument.Fault(
+                        path, lines.lineOf(key), key, fault.getMessage().substring(key.length() + 1)));
             }
             return faults;
         } catch (IllegalArgumentException e) {
             // The module checks what it alone reads, one name at a time.
             String said = e.getMessage().replace("job ticket: ", "");
-            return List.of(new Sheet.Fault(path, lines.of("settings." + said.split(" ")[0]), "settings:", said));
+            return List.of(
+                    new TomlDocument.Fault(path, lines.lineOf("settings." + said.split(" ")[0]), "settings:", said));
         }
     }
 
-    public static RunSheet read(Map<String, String> environment) throws BadSheet {
+    public static RelayConfiguration read(Map<String, String> environment) throws InvalidConfigurationException {
         String path = environment.get("BALANCER_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new BadSheet("BALANCER_CONFIG", "is missing: expected the path of the configuration, as JSON");
+            throw new InvalidConfigurationException(
+                    "BALANCER_CONFIG", "is missing: expected the path of the configuration, as JSON");
         }
         JsonObject json;
         try {
             json = new JsonObject(Files.readString(Path.of(path)));
         } catch (IOException | DecodeException e) {
-            throw new BadSheet(
+            throw new InvalidConfigurationException(
                     "BALANCER_CONFIG",
                     "names " + path + ", which " + (e instanceof IOException ? "cannot be read" : "is not JSON"));
         }
@@ -111,11 +118,15 @@
     }
 
     /** The same from what was read already. */
-    public static RunSheet read(Map<String, String> environment, JsonObject json) throws BadSheet {
+    public static RelayConfiguration read(Map<String, String> environment, JsonObject json)
+            throws InvalidConfigurationException {
         Faults all = new Faults();
         JsonObject settings = all.or(
                 new JsonObject(),
-                () -> need(part(json, "settings", JsonObject.class, null, "an object"), "settings", "an object"));
+                () -> need(
+                        valueOrDefault(json, "settings", JsonObject.class, null, "an object"),
+                        "settings",
+                        "an object"));
         Map<String, String> ticket = new HashMap<>();
         flatten(settings, "", ticket);
         // On sockets nothing tells how long a message takes at its backend, whatever the settings promise.
@@ -136,30 +147,33 @@
                                     ? Long.MAX_VALUE / 4
                                     : (long) number(part, "settings: familyInfo.messageAim")));
         }
-        JsonObject limits =
-                all.or(new JsonObject(), () -> part(json, "limits", JsonObject.class, new JsonObject(), "an object"));
+        JsonObject limits = all.or(
+                new JsonObject(),
+                () -> valueOrDefault(json, "limits", JsonObject.class, new JsonObject(), "an object"));
         String seed = all.or("0", () -> {
-            String said = need(part(json, "seed", String.class, null, "64 bits of hex"), "seed", "64 bits of hex");
+            String said =
+                    need(valueOrDefault(json, "seed", String.class, null, "64 bits of hex"), "seed", "64 bits of hex");
             if (!said.matches("[0-9a-fA-F]{1,16}")) {
-                throw new BadSheet("seed", "is malformed: expected 64 bits of hex, got " + said);
+                throw new InvalidConfigurationException("seed", "is malformed: expected 64 bits of hex, got " + said);
             }
             return said;
         });
         RosterMessage known = all.or(null, () -> {
             try {
                 return RosterMessage.decode(need(
-                        part(json, "known", JsonObject.class, null, "a list of backends"),
+                        valueOrDefault(json, "known", JsonObject.class, null, "a list of backends"),
                         "known",
                         "a list of backends"));
             } catch (IllegalArgumentException e) {
-                throw new BadSheet("known", "is malformed: " + e.getMessage());
+                throw new InvalidConfigurationException("known", "is malformed: " + e.getMessage());
             }
         });
-        int sockets = all.or(2 * OWN_SOCKETS, () -> {
-            int said = part(limits, "limits.sockets", Integer.class, 1024, "a whole number");
-            if (said < 2 * OWN_SOCKETS) {
-                throw new BadSheet(
-                        "limits.sockets", "is too small: expected " + 2 * OWN_SOCKETS + " at least, got " + said);
+        int sockets = all.or(2 * RESERVED_DESCRIPTORS, () -> {
+            int said = valueOrDefault(limits, "limits.sockets", Integer.class, 1024, "a whole number");
+            if (said < 2 * RESERVED_DESCRIPTORS) {
+                throw new InvalidConfigurationException(
+                        "limits.sockets",
+                        "is too small: expected " + 2 * RESERVED_DESCRIPTORS + " at least, got " + said);
             }
             return said;
         });
@@ -172,32 +186,34 @@
         Address listen = all.or(null, () -> address(json, "listen", environment, "BALANCER_LISTEN", false));
         String name = all.or(
                 "relay",
-                () -> environment.getOrDefault("BALANCER_NAME", part(json, "name", String.class, "relay", "a name")));
+                () -> environment.getOrDefault(
+                        "BALANCER_NAME", valueOrDefault(json, "name", String.class, "relay", "a name")));
         all.end();
-        RunValues values = new RunValues(
+        ReducerConfiguration values = new ReducerConfiguration(
                 ticket,
                 Long.parseUnsignedLong(seed, 16),
                 cutOffs,
                 zones,
                 types,
                 goal,
-                sockets - OWN_SOCKETS,
+                sockets - RESERVED_DESCRIPTORS,
                 connectTime,
                 "pass".equals(ticket.get("familyInfo.mode")),
                 discovery);
-        return new RunSheet(name, listen, (int) (connectTime / 1_000_000), new Names(useCases, tenants), known, values);
+        return new RelayConfiguration(
+                name, listen, (int) (connectTime / 1_000_000), new ConfiguredNames(useCases, tenants), known, values);
     }
 
     /** Keys that differ in a sheet read later, though a running relay keeps to what it started with. */
-    List<String> onlyAtStart(RunSheet later) {
+    List<String> keysNeedingRestart(RelayConfiguration later) {
         List<String> keys = new ArrayList<>();
-        if (!listen.equals(later.listen)) {
+        if (!listenAddress.equals(later.listenAddress)) {
             keys.add("listen");
         }
         if (!name.equals(later.name)) {
             keys.add("name");
         }
-        if (!values.jobTicket().equals(later.values.jobTicket())) {
+        if (!values.settings().equals(later.values.settings())) {
             keys.add("settings");
         }
         return keys;
@@ -205,50 +221,50 @@
 
     private static Address address(
             JsonObject json, String key, Map<String, String> environment, String variable, boolean fileWins)
-            throws BadSheet {
-        String here = part(json, key, String.class, null, "an address and port");
+            throws InvalidConfigurationException {
+        String here = valueOrDefault(json, key, String.class, null, "an address and port");
         boolean fromFile = here != null && (fileWins || !environment.containsKey(variable));
         String faulty = fromFile ? key : variable;
         String text = need(fromFile ? here : environment.get(variable), faulty, "an address and port");
         if (!text.matches("[^:]+:\\d{1,5}") || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > 65535) {
-            throw new BadSheet(faulty, "is malformed: expected an address and port, got " + text);
+            throw new InvalidConfigurationException(faulty, "is malformed: expected an address and port, got " + text);
         }
         int colon = text.lastIndexOf(':');
         return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     /** What stands under the last word of the key, or the default; the whole key names it where its form is wrong. */
-    private static <T> T part(JsonObject json, String key, Class<T> form, T otherwise, String expected)
-            throws BadSheet {
+    private static <T> T valueOrDefault(JsonObject json, String key, Class<T> form, T otherwise, String expected)
+            throws InvalidConfigurationException {
         Object value = json.getValue(key.substring(key.lastIndexOf('.') + 1));
         if (value != null && !form.isInstance(value)) {
-            throw new BadSheet(key, "is malformed: expected " + expected + ", got " + value);
+            throw new InvalidConfigurationException(key, "is malformed: expected " + expected + ", got " + value);
         }
         return value == null ? otherwise : form.cast(value);
     }
 
-    private static <T> T need(T value, String key, String expected) throws BadSheet {
+    private static <T> T need(T value, String key, String expected) throws InvalidConfigurationException {
         if (value == null) {
-            throw new BadSheet(key, "is missing: expected " + expected);
+            throw new InvalidConfigurationException(key, "is missing: expected " + expected);
         }
         return value;
     }
 
-    private static double number(Map<String, String> ticket, String name) throws BadSheet {
+    private static double number(Map<String, String> ticket, String name) throws InvalidConfigurationException {
         return number(need(ticket.get(name), "settings: " + name, "a number"), "settings: " + name);
     }
 
-    private static double number(String text, String key) throws BadSheet {
+    private static double number(String text, String key) throws InvalidConfigurationException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new BadSheet(key, "is malformed: expected a number, got " + text);
+            throw new InvalidConfigurationException(key, "is malformed: expected a number, got " + text);
         }
     }
 
     /** A list of names, or of objects that have one; the settings' places count from here. */
-    private static List<String> names(JsonObject settings, String key) throws BadSheet {
-        return part(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
+    private static List<String> names(JsonObject settings, String key) throws InvalidConfigurationException {
+        return valueOrDefault(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
                 .map(item -> String.valueOf(item instanceof JsonObject named ? named.getValue("name") : item))
                 .toList();
     }
@@ -258,14 +274,15 @@
         if (value instanceof JsonObject object) {
             object.forEach(e -> flatten(e.getValue(), path.isEmpty() ? e.getKey() : path + "." + e.getKey(), ticket));
         } else if (value instanceof JsonArray list && list.stream().anyMatch(JsonObject.class::isInstance)) {
-            Ticket.put(ticket, path + ".count", Integer.toString(list.size()));
+            SettingsParser.putSetting(ticket, path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
                 flatten(list.getValue(i), path + "." + i, ticket);
             }
         } else if (value instanceof JsonArray list) {
-            Ticket.put(ticket, path, list.stream().map(RunSheet::plain).collect(Collectors.joining(",")));
+            SettingsParser.putSetting(
+                    ticket, path, list.stream().map(RelayConfiguration::plain).collect(Collectors.joining(",")));
         } else if (value != null) {
-            Ticket.put(ticket, path, plain(value));
+            SettingsParser.putSetting(ticket, path, plain(value));
         }
     }
 
--- a/relay/src/main/java/ambertrestle/relay/life/Safe.java
+++ b/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
@@ -1,10 +1,10 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
-import ambertrestle.decide.Kept;
-import ambertrestle.relay.durable.Hand;
-import ambertrestle.relay.durable.Keeper;
+import ambertrestle.decide.LearnedState;
+import ambertrestle.relay.persistence.StateChanges;
+import ambertrestle.relay.persistence.StateStore;
 import ambertrestle.relay.wire.RosterMessage;
-import ambertrestle.relay.wire.RosterWatch;
+import ambertrestle.relay.wire.RosterWatcher;
 import io.vertx.core.Vertx;
 import io.vertx.core.WorkerExecutor;
 import java.lang.System.Logger.Level;
@@ -15,52 +15,52 @@
  * Times the keeping: gathers what changed on the event loop, a part a turn, and hands it to one thread beside the loop,
  * one write at a time. While a write lasts nothing is gathered, so a stalled disk costs neither time nor memory here.
  */
-final class Safe {
+final class StatePersister {
     /** What is gathered may go on at the end of a relay for so long. */
-    private static final long LAST_MILLIS = 1_000;
+    private static final long FINAL_WRITE_TIMEOUT_MILLIS = 1_000;
 
     private final Vertx vertx;
-    private final Keeper keeper;
+    private final StateStore keeper;
     private final long interval;
-    private final Runnable ask;
-    private final RosterWatch watch;
-    private final long wallLess;
-    private final WorkerExecutor beside;
-    private Hand hand = new Hand();
+    private final Runnable requestPart;
+    private final RosterWatcher watch;
+    private final long unixTimeOffsetNanos;
+    private final WorkerExecutor writerExecutor;
+    private StateChanges changes = new StateChanges();
     private boolean gathering;
     /** Counts the parts that came. */
-    private long taken;
+    private long receivedParts;
 
     private boolean writing;
     private long writingSince;
-    private boolean toldLate;
+    private boolean slowWriteLogged;
     /** At the end: whether one more is owed, and what then follows; null while it serves. */
-    private boolean last;
+    private boolean finalWritePending;
 
-    private Runnable whenOver;
+    private Runnable onStopped;
 
-    /** `ask`: makes the reducer give a part, which comes back by {@link #take}. */
-    Safe(Vertx vertx, Keeper keeper, long interval, Runnable ask, RosterWatch watch, long wallLess) {
+    /** `ask`: makes the reducer give a part, which comes back by {@link #add}. */
+    StatePersister(Vertx vertx, StateStore keeper, long interval, Runnable ask, RosterWatcher watch, long wallLess) {
         this.vertx = vertx;
         this.keeper = keeper;
         this.interval = interval;
-        this.ask = ask;
+        this.requestPart = ask;
         this.watch = watch;
-        this.wallLess = wallLess;
+        this.unixTimeOffsetNanos = wallLess;
         // Danger: in the one pool of Vert.x a stalled disk would hold up whatever else must wait there.
-        beside = vertx.createSharedWorkerExecutor("durable", 1, 1, TimeUnit.HOURS);
+        writerExecutor = vertx.createSharedWorkerExecutor("durable", 1, 1, TimeUnit.HOURS);
     }
 
     /** Twice an interval, so that with a write under way the file that stands is still no older than one. */
-    void begin() {
-        vertx.setPeriodic(Math.max(1, interval / 2_000_000), t -> keep());
-        keep();
+    void start() {
+        vertx.setPeriodic(Math.max(1, interval / 2_000_000), t -> beginPersist());
+        beginPersist();
     }
 
-    private void keep() {
-        if (writing && System.nanoTime() - writingSince > interval && !toldLate) {
-            toldLate = true;
-            Log.tell(
+    private void beginPersist() {
+        if (writing && System.nanoTime() - writingSince > interval && !slowWriteLogged) {
+            slowWriteLogged = true;
+            Log.log(
                     Level.WARNING,
                     "state-late",
                     "a write of what is kept takes longer than durable.interval",
@@ -74,15 +74,15 @@
 
     /** Danger: where the reducer fails, no part comes, and nothing would ever be kept again. */
     private void askForPart() {
-        long parts = taken;
-        ask.run();
-        gathering = gathering && taken > parts;
+        long parts = receivedParts;
+        requestPart.run();
+        gathering = gathering && receivedParts > parts;
     }
 
-    void take(Kept part) {
-        taken++;
-        hand.take(part);
-        if (part.more()) {
+    void add(LearnedState part) {
+        receivedParts++;
+        changes.add(part);
+        if (part.hasMore()) {
             vertx.setTimer(1, t -> askForPart());
         } else {
             gathering = false;
@@ -90,29 +90,32 @@
         }
     }
 
-    void take(RosterMessage message) {
-        hand.take(message);
+    void add(RosterMessage message) {
+        changes.add(message);
     }
 
     private void write() {
-        Hand mine = hand;
-        hand = new Hand();
+        StateChanges mine = changes;
+        changes = new StateChanges();
         writing = true;
         writingSince = System.nanoTime();
-        long now = writingSince + wallLess;
-        String heardFrom = watch.heardFrom() == null ? null : watch.heardFrom().toString();
-        long heardAt = watch.heardAt() + wallLess;
-        beside.executeBlocking(() -> keeper.write(mine, heardFrom, heardAt, now))
+        long now = writingSince + unixTimeOffsetNanos;
+        String heardFrom = watch.rosterConfirmedBy() == null
+                ? null
+                : watch.rosterConfirmedBy().toString();
+        long heardAt = watch.rosterConfirmedAt() + unixTimeOffsetNanos;
+        writerExecutor
+                .executeBlocking(() -> keeper.persist(mine, heardFrom, heardAt, now))
                 .onComplete(result -> {
                     writing = false;
-                    toldLate = false;
+                    slowWriteLogged = false;
                     if (result.failed()) {
-                        Log.failed("state-not-kept", "keeping failed", result.cause());
+                        Log.logFailure("state-not-kept", "keeping failed", result.cause());
                     } else if (result.result() != null) {
-                        Serve.tell(result.result());
+                        RelayServer.log(result.result());
                     }
-                    if (whenOver != null) {
-                        lastOrOver();
+                    if (onStopped != null) {
+                        persistFinallyOrFinish();
                     }
                 });
     }
@@ -120,7 +123,7 @@
     /**
      * Keeps once more, then runs that, after a second at the latest: a relay told to stop must not hang on its disk.
      */
-    void end(Runnable then) {
+    void stop(Runnable then) {
         boolean[] ran = new boolean[1];
         Runnable once = () -> {
             if (!ran[0]) {
@@ -128,22 +131,22 @@
                 then.run();
             }
         };
-        vertx.setTimer(LAST_MILLIS, t -> once.run());
-        whenOver = once;
-        last = true;
+        vertx.setTimer(FINAL_WRITE_TIMEOUT_MILLIS, t -> once.run());
+        onStopped = once;
+        finalWritePending = true;
         // What asks for this is an event in hand, within which no part comes.
-        vertx.setTimer(1, t -> lastOrOver());
+        vertx.setTimer(1, t -> persistFinallyOrFinish());
     }
 
-    private void lastOrOver() {
+    private void persistFinallyOrFinish() {
         if (writing || gathering) {
             return;
         }
-        if (last) {
-            last = false;
-            keep();
+        if (finalWritePending) {
+            finalWritePending = false;
+            beginPersist();
         } else {
-            whenOver.run();
+            onStopped.run();
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/sheet/Sheet.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.sheet;
+package ambertrestle.relay.toml;
 
 import java.io.IOException;
 import java.nio.charset.MalformedInputException;
@@ -18,51 +18,51 @@
 
 /**
  * Reads one TOML file and keeps every fault found in it, each with file, key and line. What is asked for counts as
- * known; {@link Part#end} faults the rest, with the nearest known name. Values that are faulty give their default, so
- * that one reading finds all faults; a caller must look at {@link #faults} before it uses what was read. Times in
- * nanoseconds.
+ * known; {@link Table#reportUnknownKeys} faults the rest, with the nearest known name. Values that are faulty give
+ * their default, so that one reading finds all faults; a caller must look at {@link #faults} before it uses what was
+ * read. Times in nanoseconds.
  */
-public final class Sheet {
-    private static final long NO_LEAST = Long.MIN_VALUE;
+public final class TomlDocument {
+    private static final long INVALID_DURATION = Long.MIN_VALUE;
 
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
     private final TomlTable top;
 
     /** One thing that is wrong, told as `file:line: key says what was expected`. */
-    public record Fault(String file, int line, String key, String what) {
+    public record Fault(String file, int line, String key, String message) {
         @Override
         public String toString() {
-            return file + ":" + line + ": " + (key.isEmpty() ? "" : key + " ") + what;
+            return file + ":" + line + ": " + (key.isEmpty() ? "" : key + " ") + message;
         }
     }
 
     /** One table of the file. */
-    public final class Part {
+    public final class Table {
         private final TomlTable table;
         private final String path;
-        private final Set<String> known = new TreeSet<>();
+        private final Set<String> requestedKeys = new TreeSet<>();
 
-        private Part(TomlTable table, String path) {
+        private Table(TomlTable table, String path) {
             this.table = table;
             this.path = path;
         }
 
         public boolean has(String key) {
-            known.add(key);
+            requestedKeys.add(key);
             return table.get(List.of(key)) != null;
         }
 
-        public String text(String key, String otherwise) {
+        public String readText(String key, String otherwise) {
             Object value = value(key, otherwise);
-            return value instanceof String text ? text : wrong(key, value, otherwise, "a text in quotes");
+            return value instanceof String text ? text : reportMalformed(key, value, otherwise, "a text in quotes");
         }
 
         /** One of the words. */
-        public String word(String key, String otherwise, Collection<String> words) {
-            String said = text(key, otherwise);
+        public String readChoice(String key, String otherwise, Collection<String> words) {
+            String said = readText(key, otherwise);
             if (said != null && !words.contains(said)) {
-                fault(
+                addFault(
                         key,
                         "is not known: expected one of " + String.join(", ", words) + nearest(said, words) + ", got "
                                 + said);
@@ -71,12 +71,12 @@
             return said;
         }
 
-        public boolean flag(String key, boolean otherwise) {
+        public boolean readBoolean(String key, boolean otherwise) {
             Object value = value(key, otherwise);
-            return value instanceof Boolean flag ? flag : wrong(key, value, otherwise, "true or false");
+            return value instanceof Boolean flag ? flag : reportMalformed(key, value, otherwise, "true or false");
         }
 
-        public long whole(String key, Long otherwise, long least, long most) {
+        public long readLong(String key, Long otherwise, long least, long most) {
             Object value = value(key, otherwise);
             if (value == null) {
                 return 0;
@@ -84,11 +84,11 @@
             if (value instanceof Long number && number >= least && number <= most) {
                 return number;
             }
-            return wrong(
+            return reportMalformed(
                     key, value, otherwise == null ? least : otherwise, "a whole number from " + least + " to " + most);
         }
 
-        public double number(String key, Double otherwise, double least, double most) {
+        public double readDouble(String key, Double otherwise, double least, double most) {
             Object value = value(key, otherwise);
             if (value == null) {
                 return 0;
@@ -96,7 +96,7 @@
             if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
                 return number.doubleValue();
             }
-            return wrong(
+            return reportMalformed(
                     key,
                     value,
                     otherwise == null ? least : otherwise,
@@ -104,62 +104,62 @@
         }
 
         /** A time as a text such as "250ms", "3s" or "2m"; in nanoseconds. */
-        public long time(String key, String otherwise) {
+        public long readDurationNanos(String key, String otherwise) {
             Object value = value(key, otherwise);
             if (value == null) {
                 return 0;
             }
-            long nanos = value instanceof String text ? nanos(text) : NO_LEAST;
-            if (nanos == NO_LEAST) {
-                wrong(key, value, otherwise, "a time such as \"250ms\", \"3s\" or \"2m\"");
+            long nanos = value instanceof String text ? nanos(text) : INVALID_DURATION;
+            if (nanos == INVALID_DURATION) {
+                reportMalformed(key, value, otherwise, "a time such as \"250ms\", \"3s\" or \"2m\"");
                 return otherwise == null ? 0 : nanos(otherwise);
             }
             return nanos;
         }
 
-        public List<String> texts(String key, List<String> otherwise) {
+        public List<String> readTexts(String key, List<String> otherwise) {
             Object value = value(key, otherwise);
             if (value instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)) {
                 return list.toList().stream().map(String.class::cast).toList();
             }
-            return value == otherwise ? otherwise : wrong(key, value, otherwise, "a list of texts in quotes");
+            return value == otherwise ? otherwise : reportMalformed(key, value, otherwise, "a list of texts in quotes");
         }
 
         /** The table under that name; an empty one where it is not there. */
-        public Part part(String key) {
-            known.add(key);
+        public Table readTable(String key) {
+            requestedKeys.add(key);
             Object value = table.get(List.of(key));
             if (value != null && !(value instanceof TomlTable)) {
-                fault(key, "is malformed: expected a table, got " + value);
+                addFault(key, "is malformed: expected a table, got " + value);
             }
-            return new Part(value instanceof TomlTable inner ? inner : Toml.parse(""), path(key));
+            return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), path(key));
         }
 
         /** The tables of the list under that name, written [[name]]. */
-        public List<Part> parts(String key) {
-            known.add(key);
+        public List<Table> readTables(String key) {
+            requestedKeys.add(key);
             Object value = table.get(List.of(key));
-            List<Part> parts = new ArrayList<>();
+            List<Table> parts = new ArrayList<>();
             if (value instanceof TomlArray list && list.toList().stream().allMatch(TomlTable.class::isInstance)) {
                 for (int i = 0; i < list.size(); i++) {
-                    parts.add(new Part(list.getTable(i), path(key) + "[" + (i + 1) + "]"));
+                    parts.add(new Table(list.getTable(i), path(key) + "[" + (i + 1) + "]"));
                 }
             } else if (value != null) {
-                fault(key, "is malformed: expected tables written [[" + path(key) + "]]");
+                addFault(key, "is malformed: expected tables written [[" + path(key) + "]]");
             }
             return parts;
         }
 
         /** Faults every key that nobody asked for. */
-        public void end() {
+        public void reportUnknownKeys() {
             for (String key : new TreeSet<>(table.keySet())) {
-                if (!known.contains(key)) {
-                    fault(key, "is not known" + nearest(key, known));
+                if (!requestedKeys.contains(key)) {
+                    addFault(key, "is not known" + nearest(key, requestedKeys));
                 }
             }
         }
 
-        public void fault(String key, String what) {
+        public void addFault(String key, String what) {
             TomlPosition at = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
             faults.add(new Fault(file, at == null ? line() : at.line(), key.isEmpty() ? path : path(key), what));
         }
@@ -179,17 +179,17 @@
         }
 
         private Object value(String key, Object otherwise) {
-            known.add(key);
+            requestedKeys.add(key);
             Object value = table.get(List.of(key));
             if (value == null && otherwise == null) {
-                fault(key, "is missing");
+                addFault(key, "is missing");
             }
             return value == null ? otherwise : value;
         }
 
-        private <T> T wrong(String key, Object value, T otherwise, String expected) {
+        private <T> T reportMalformed(String key, Object value, T otherwise, String expected) {
             if (value != null) {
-                fault(
+                addFault(
                         key,
                         "is malformed: expected " + expected + ", got "
                                 + (value instanceof TomlTable
@@ -200,13 +200,13 @@
         }
     }
 
-    private Sheet(String file, TomlTable top) {
+    private TomlDocument(String file, TomlTable top) {
         this.file = file;
         this.top = top;
     }
 
     /** Throws IOException, with a message fit to be shown, where the file cannot be read at all. */
-    public static Sheet read(Path path) throws IOException {
+    public static TomlDocument read(Path path) throws IOException {
         try {
             return parse(path.toString(), Files.readString(path));
         } catch (MalformedInputException e) {
@@ -216,9 +216,9 @@
         }
     }
 
-    public static Sheet parse(String file, String text) {
+    public static TomlDocument parse(String file, String text) {
         TomlParseResult result = Toml.parse(text);
-        Sheet sheet = new Sheet(file, result);
+        TomlDocument sheet = new TomlDocument(file, result);
         result.errors()
                 .forEach(e -> sheet.faults.add(new Fault(
                         file,
@@ -232,8 +232,8 @@
         return sheet;
     }
 
-    public Part top() {
-        return new Part(top, "");
+    public Table rootTable() {
+        return new Table(top, "");
     }
 
     /** In the order of their lines. */
@@ -248,7 +248,7 @@
         java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
                 .matcher(text);
         if (!m.matches()) {
-            return NO_LEAST;
+            return INVALID_DURATION;
         }
         double unit =
                 switch (m.group(2)) {
--- a/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
@@ -14,80 +14,80 @@
 final class LineSocket {
     private final NetSocketInternal socket;
     private final Channel channel;
-    private final Lines lines = new Lines();
-    private Future<Void> last = Future.succeededFuture();
-    private LineSocket coupled;
-    private boolean reset;
-    private boolean closing;
+    private final LineDecoder decoder = new LineDecoder();
+    private Future<Void> lastWrite = Future.succeededFuture();
+    private LineSocket linkedSocket;
+    private boolean isReset;
+    private boolean isClosing;
 
-    interface Owner {
-        void line(byte[] raw);
+    interface Listener {
+        void onLine(byte[] raw);
 
-        void garbled();
+        void onFramingError();
 
-        void ended();
+        void onInputShutdown();
 
-        void gone(boolean reset);
+        void onClosed(boolean reset);
     }
 
-    LineSocket(NetSocket made, Owner owner) {
+    LineSocket(NetSocket made, Listener owner) {
         socket = (NetSocketInternal) made;
         channel = socket.channelHandlerContext().channel();
         // Danger: without this a peer that only ends its sending would be cut off in what it still reads.
         channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
         Consumer<byte[]> line = raw -> {
-            if (!closing) {
-                owner.line(raw);
+            if (!isClosing) {
+                owner.onLine(raw);
             }
         };
         socket.handler(piece -> {
-            if (!closing && !lines.feed(piece.getBytes(), line)) {
-                owner.garbled();
+            if (!isClosing && !decoder.feed(piece.getBytes(), line)) {
+                owner.onFramingError();
             }
         });
         socket.eventHandler(event -> {
             if (event instanceof ChannelInputShutdownEvent) {
-                owner.ended();
+                owner.onInputShutdown();
             }
         });
-        socket.exceptionHandler(e -> reset = true);
+        socket.exceptionHandler(e -> isReset = true);
         socket.drainHandler(v -> {
-            if (coupled != null) {
-                coupled.socket.resume();
+            if (linkedSocket != null) {
+                linkedSocket.socket.resume();
             }
         });
         socket.closeHandler(v -> {
             // Danger: a paused peer whose other end is gone would never be read again, nor found closed.
-            if (coupled != null) {
-                coupled.socket.resume();
+            if (linkedSocket != null) {
+                linkedSocket.socket.resume();
             }
-            owner.gone(reset);
+            owner.onClosed(isReset);
         });
     }
 
-    void couple(LineSocket other) {
-        coupled = other;
+    void linkFlowControl(LineSocket other) {
+        linkedSocket = other;
     }
 
     Future<Void> write(byte[] line) {
-        last = socket.write(Buffer.buffer(line));
-        if (coupled != null && socket.writeQueueFull()) {
-            coupled.socket.pause();
+        lastWrite = socket.write(Buffer.buffer(line));
+        if (linkedSocket != null && socket.writeQueueFull()) {
+            linkedSocket.socket.pause();
         }
-        return last;
+        return lastWrite;
     }
 
-    void finish() {
-        last.onComplete(v -> ((DuplexChannel) channel).shutdownOutput());
+    void shutdownOutput() {
+        lastWrite.onComplete(v -> ((DuplexChannel) channel).shutdownOutput());
     }
 
     void close() {
-        closing = true;
-        last.onComplete(v -> socket.close());
+        isClosing = true;
+        lastWrite.onComplete(v -> socket.close());
     }
 
     void reset() {
-        closing = true;
+        isClosing = true;
         if (channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
@@ -1,6 +1,6 @@
 package ambertrestle.relay.wire;
 
-import ambertrestle.decide.Listed.Stage;
+import ambertrestle.decide.RosterEntry.Stage;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.nio.charset.StandardCharsets;
@@ -10,8 +10,8 @@
 import java.util.function.BiConsumer;
 
 /** One message of the roster service: all backends, or those that changed. */
-public record RosterMessage(long index, boolean whole, List<Line> lines) {
-    public record Line(
+public record RosterMessage(long version, boolean isComplete, List<Entry> entries) {
+    public record Entry(
             String name,
             String address,
             Stage stage,
@@ -19,10 +19,10 @@
             String type,
             int cell,
             double weight,
-            long sinceMillis) {}
+            long startedAtMillis) {}
 
     /** Any name is an id: FNV-1a over its bytes, 64 bits, so that relays agree without talking. */
-    public static long id(String name) {
+    public static long backendId(String name) {
         long hash = 0xcbf29ce484222325L;
         for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ (b & 0xff)) * 0x100000001b3L;
@@ -31,14 +31,14 @@
     }
 
     /** The whole list as it is after these changes, or after that list. */
-    public RosterMessage after(RosterMessage changes) {
-        TreeMap<String, Line> byName = new TreeMap<>();
-        if (!changes.whole) {
-            lines.forEach(l -> byName.put(l.name, l));
+    public RosterMessage withUpdate(RosterMessage changes) {
+        TreeMap<String, Entry> byName = new TreeMap<>();
+        if (!changes.isComplete) {
+            entries.forEach(l -> byName.put(l.name, l));
         }
-        changes.lines.forEach(l -> byName.put(l.name, l));
+        changes.entries.forEach(l -> byName.put(l.name, l));
         byName.values().removeIf(l -> l.stage == Stage.GONE);
-        return new RosterMessage(changes.index, true, List.copyOf(byName.values()));
+        return new RosterMessage(changes.version, true, List.copyOf(byName.values()));
     }
 
     /** Throws IllegalArgumentException, naming the key, on what is no message, be it one entry. */
@@ -51,28 +51,29 @@
     /** The same, but a faulty entry is left out and told, with its name where it has one, else with its place. */
     public static RosterMessage decode(JsonObject json, BiConsumer<String, String> faulty) {
         try {
-            List<Line> lines = new ArrayList<>();
+            List<Entry> lines = new ArrayList<>();
             JsonArray entries = json.getJsonArray("endpoints", new JsonArray());
             for (int i = 0; i < entries.size(); i++) {
                 String name = "entry " + i;
                 try {
                     JsonObject e = entries.getJsonObject(i);
-                    name = need(e.getString("name"), "name");
-                    lines.add(line(name, e));
+                    name = require(e.getString("name"), "name");
+                    lines.add(decodeEntry(name, e));
                 } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
                     faulty.accept(
                             name,
                             e instanceof IllegalArgumentException ? e.getMessage() : "a value has the wrong form");
                 }
             }
-            return new RosterMessage(need(json.getLong("index"), "index"), json.getBoolean("snapshot", false), lines);
+            return new RosterMessage(
+                    require(json.getLong("index"), "index"), json.getBoolean("snapshot", false), lines);
         } catch (ClassCastException | NullPointerException e) {
             throw new IllegalArgumentException("a value has the wrong form", e);
         }
     }
 
-    private static Line line(String name, JsonObject e) {
-        String status = need(e.getString("status"), "status");
+    private static Entry decodeEntry(String name, JsonObject e) {
+        String status = require(e.getString("status"), "status");
         Stage stage =
                 switch (status) {
                     case "in_service" -> Stage.READY;
@@ -84,7 +85,7 @@
         if (address.isEmpty() && stage != Stage.GONE) {
             throw new IllegalArgumentException("address of " + name + " is missing");
         }
-        return new Line(
+        return new Entry(
                 name,
                 address,
                 stage,
@@ -95,7 +96,7 @@
                 e.getLong("since_ms", 0L));
     }
 
-    private static <T> T need(T value, String key) {
+    private static <T> T require(T value, String key) {
         if (value == null) {
             throw new IllegalArgumentException(key + " is missing");
         }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterStream.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterStreamParser.java
@@ -13,51 +13,51 @@
  * wherever the pieces are cut. No socket, no timer. What is no JSON, or no message, is told once and ends it; one
  * faulty entry does not.
  */
-final class RosterStream {
+final class RosterStreamParser {
     /** Bounds what one message may hold in memory: some twenty thousand entries, indented. */
-    static final int LONGEST = 8 << 20;
+    static final int MAX_MESSAGE_BYTES = 8 << 20;
 
     private final JsonParser parser = JsonParser.newParser().objectValueMode();
-    private final Consumer<Heard.Roster> tell;
-    private final Consumer<String> broke;
+    private final Consumer<NetworkEvent.RosterReceived> messageListener;
+    private final Consumer<String> errorListener;
     /** What came since the last value was whole; 0 while none has begun. */
-    private int unread;
+    private int unparsedBytes;
 
-    private boolean over;
+    private boolean hasFailed;
 
-    RosterStream(Consumer<Heard.Roster> tell, Consumer<String> broke) {
-        this.tell = tell;
-        this.broke = broke;
-        parser.exceptionHandler(e -> nonsense(e.getMessage()));
+    RosterStreamParser(Consumer<NetworkEvent.RosterReceived> tell, Consumer<String> broke) {
+        this.messageListener = tell;
+        this.errorListener = broke;
+        parser.exceptionHandler(e -> failMalformed(e.getMessage()));
         parser.handler(event -> {
-            unread = 0;
+            unparsedBytes = 0;
             if (event.type() == JsonEventType.VALUE && event.isObject()) {
-                message(event.objectValue());
+                onMessage(event.objectValue());
             } else {
-                nonsense("a value that is no object");
+                failMalformed("a value that is no object");
             }
         });
     }
 
     void feed(Buffer piece) {
-        if (over) {
+        if (hasFailed) {
             return;
         }
         // Danger: an object without end would fill the memory; empty lines, which come for months, hold none.
-        unread += piece.length() < 8 && piece.toString().isBlank() ? 0 : piece.length();
+        unparsedBytes += piece.length() < 8 && piece.toString().isBlank() ? 0 : piece.length();
         parser.handle(piece);
-        if (!over && unread > LONGEST) {
-            end("a message too long");
+        if (!hasFailed && unparsedBytes > MAX_MESSAGE_BYTES) {
+            fail("a message too long");
         }
     }
 
     /** Nothing is half heard: the list as it was told stands. */
-    boolean whole() {
-        return !over && unread == 0;
+    boolean isAtMessageBoundary() {
+        return !hasFailed && unparsedBytes == 0;
     }
 
-    private void message(JsonObject json) {
-        if (over) {
+    private void onMessage(JsonObject json) {
+        if (hasFailed) {
             return;
         }
         Map<String, String> faulty = new TreeMap<>();
@@ -65,20 +65,20 @@
         try {
             message = RosterMessage.decode(json, faulty::put);
         } catch (IllegalArgumentException e) {
-            nonsense(e.getMessage());
+            failMalformed(e.getMessage());
             return;
         }
-        tell.accept(new Heard.Roster(message, faulty));
+        messageListener.accept(new NetworkEvent.RosterReceived(message, faulty));
     }
 
-    private void nonsense(String why) {
-        end("nonsense: " + why);
+    private void failMalformed(String why) {
+        fail("nonsense: " + why);
     }
 
-    private void end(String why) {
-        if (!over) {
-            over = true;
-            broke.accept(why);
+    private void fail(String why) {
+        if (!hasFailed) {
+            hasFailed = true;
+            errorListener.accept(why);
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/wire/OneLoop.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/SingleEventLoopTransport.java
@@ -10,7 +10,7 @@
  * while the loop, with part of a core and a crowd at the door, has not yet turned the first ones away; past the limit
  * neither accepting nor dialling works. So the rest waits in the backlog.
  */
-public final class OneLoop implements Transport {
+public final class SingleEventLoopTransport implements Transport {
     @Override
     public String name() {
         return "one loop";
--- a/relay/src/main/java/ambertrestle/simhost/Instance.java
+++ b/relay/src/main/java/ambertrestle/simhost/Instance.java
@@ -1,116 +1,116 @@
 package ambertrestle.simhost;
 
-import ambertrestle.decide.Answer;
 import ambertrestle.decide.Association;
 import ambertrestle.decide.Balancer;
-import ambertrestle.decide.Chores;
-import ambertrestle.decide.Outcome;
+import ambertrestle.decide.Decision;
+import ambertrestle.decide.DispatchOutcome;
+import ambertrestle.decide.DueActions;
 import java.util.HashMap;
 import java.util.PriorityQueue;
 
 /** One instance: its module, the associations it holds, and its timers. */
 final class Instance {
-    private record Waiting(long until, long order, Association association) {}
+    private record DelayedAssociation(long until, long order, Association association) {}
 
     final int number;
-    final HashMap<Long, Association> held = new HashMap<>();
+    final HashMap<Long, Association> associations = new HashMap<>();
     Balancer balancer;
-    boolean touched;
+    boolean isInBatch;
     boolean stopped;
     boolean crashed;
-    private final Wire.Reply reply;
-    private final PriorityQueue<Waiting> waiting = new PriorityQueue<>(
+    private final WireFormat.Reply reply;
+    private final PriorityQueue<DelayedAssociation> waiting = new PriorityQueue<>(
             (x, y) -> x.until != y.until ? Long.compare(x.until, y.until) : Long.compare(x.order, y.order));
-    private long orders;
+    private long nextOrder;
     /** The earliest timer that is set and has not fired, in nanoseconds. */
-    private long armed = Long.MAX_VALUE;
+    private long nextTimerAt = Long.MAX_VALUE;
 
-    Instance(int number, Wire.Reply reply) {
+    Instance(int number, WireFormat.Reply reply) {
         this.number = number;
         this.reply = reply;
     }
 
-    void arrived(Association a, long now) {
-        held.put(a.id, a);
-        carryOut(a, balancer.where(a, now), now);
+    void onArrival(Association a, long now) {
+        associations.put(a.id, a);
+        execute(a, balancer.selectBackend(a, now), now);
     }
 
-    void settled(long id, int dispatch, Outcome outcome, boolean finished, long now) {
-        Association a = held.get(id);
+    void onAttemptFinished(long id, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+        Association a = associations.get(id);
         if (a == null) {
             return;
         }
-        carryOut(a, balancer.after(a, dispatch, outcome, finished, now), now);
+        execute(a, balancer.onDispatchFinished(a, dispatch, outcome, finished, now), now);
         if (finished) {
-            held.remove(id);
+            associations.remove(id);
         }
     }
 
-    void clientLeft(long id, long now) {
-        Association a = held.remove(id);
+    void onClientLeft(long id, long now) {
+        Association a = associations.remove(id);
         if (a != null) {
-            balancer.clientLeft(a, now);
+            balancer.onClientDisconnected(a, now);
         }
     }
 
-    void fired(long now) {
-        if (armed <= now) {
-            armed = Long.MAX_VALUE;
+    void onTimer(long now) {
+        if (nextTimerAt <= now) {
+            nextTimerAt = Long.MAX_VALUE;
         }
     }
 
-    private void carryOut(Association a, Answer answer, long now) {
+    private void execute(Association a, Decision answer, long now) {
         switch (answer.kind) {
-            case SEND -> reply.handOff(number, a.id, answer.backend, answer.time / 1000);
-            case WAIT -> waiting.add(new Waiting(answer.time, orders++, a));
+            case SEND -> reply.addDispatch(number, a.id, answer.backend, answer.time / 1000);
+            case WAIT -> waiting.add(new DelayedAssociation(answer.time, nextOrder++, a));
             case SHED -> {
-                reply.withId(Wire.PUSH_BACK, number, a.id, answer.time / 1000);
-                held.remove(a.id);
+                reply.addRecordWithId(WireFormat.PUSH_BACK, number, a.id, answer.time / 1000);
+                associations.remove(a.id);
             }
             case FORFEIT -> {
-                reply.withId(Wire.SURRENDER, number, a.id);
-                held.remove(a.id);
+                reply.addRecordWithId(WireFormat.SURRENDER, number, a.id);
+                associations.remove(a.id);
             }
             case NOTHING -> {}
         }
     }
 
     /** Asks again for those that waited, does the chores that are due, and sets the next timer. */
-    void afterBatch(long now) {
+    void onBatchFinished(long now) {
         while (!waiting.isEmpty() && waiting.peek().until <= now) {
             Association a = waiting.poll().association;
-            if (held.get(a.id) == a) {
-                carryOut(a, balancer.where(a, now), now);
+            if (associations.get(a.id) == a) {
+                execute(a, balancer.selectBackend(a, now), now);
             }
         }
-        Chores chores = balancer.howLong(now);
+        DueActions chores = balancer.pollDueActions(now);
         switch (chores.rosterCall) {
-            case WATCH -> reply.withByte(Wire.TRACK, number, 1);
-            case FETCH -> reply.plain(Wire.GET_LIST, number);
+            case WATCH -> reply.addRecordWithByte(WireFormat.TRACK, number, 1);
+            case FETCH -> reply.addRecord(WireFormat.GET_LIST, number);
             case NONE -> {}
         }
-        for (int i = 0; i < chores.probes.size(); i++) {
-            reply.withBackend(Wire.INSPECT, number, chores.probes.get(i));
+        for (int i = 0; i < chores.backendsToProbe.size(); i++) {
+            reply.addRecordWithBackend(WireFormat.INSPECT, number, chores.backendsToProbe.get(i));
         }
-        for (int i = 0; i < chores.moves.size(); i++) {
-            reply.withId(Wire.EVICT, number, chores.moves.get(i).id);
+        for (int i = 0; i < chores.connectionsToMove.size(); i++) {
+            reply.addRecordWithId(WireFormat.EVICT, number, chores.connectionsToMove.get(i).id);
         }
-        for (int i = 0; i < chores.log.size(); i++) {
-            reply.text(Wire.EMIT, number, chores.log.get(i));
+        for (int i = 0; i < chores.logMessages.size(); i++) {
+            reply.addRecordWithText(WireFormat.EMIT, number, chores.logMessages.get(i));
         }
-        if (chores.message != null) {
-            reply.publish(number, chores.message);
+        if (chores.peerMessage != null) {
+            reply.addPublish(number, chores.peerMessage);
         }
         long next = waiting.isEmpty() ? chores.wakeAt : Math.min(chores.wakeAt, waiting.peek().until);
-        if (next < armed) {
-            armed = next;
-            reply.withId(Wire.SET_TIMER, number, (next + 999) / 1000, 0);
+        if (next < nextTimerAt) {
+            nextTimerAt = next;
+            reply.addRecordWithId(WireFormat.SET_TIMER, number, (next + 999) / 1000, 0);
         }
     }
 
-    void crash(RuntimeException e) {
+    void reportCrash(RuntimeException e) {
         crashed = true;
         StackTraceElement[] trace = e.getStackTrace();
-        reply.text(Wire.CRASH, number, e + (trace.length > 0 ? " at " + trace[0] : ""));
+        reply.addRecordWithText(WireFormat.CRASH, number, e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/SimHost.java
+++ b/relay/src/main/java/ambertrestle/simhost/SimHost.java
@@ -2,9 +2,9 @@
 
 import ambertrestle.decide.Association;
 import ambertrestle.decide.Balancer;
-import ambertrestle.decide.Listed;
-import ambertrestle.decide.Outcome;
-import ambertrestle.ticket.Ticket;
+import ambertrestle.decide.DispatchOutcome;
+import ambertrestle.decide.RosterEntry;
+import ambertrestle.settings.SettingsParser;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,15 +17,15 @@
 
 /** Hosts instances of the module on the simulator's wire: one batch in, one reply out. It decides nothing. */
 public final class SimHost {
-    private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final Listed.Stage[] STAGES = Listed.Stage.values();
+    private static final DispatchOutcome[] OUTCOMES = DispatchOutcome.values();
+    private static final RosterEntry.Stage[] STAGES = RosterEntry.Stage.values();
 
     private final InputStream in;
     private final OutputStream out;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
     private final List<Instance> touched = new ArrayList<>();
-    private final Wire.Reply reply = new Wire.Reply();
-    private ByteBuffer frame = sized(1 << 16);
+    private final WireFormat.Reply reply = new WireFormat.Reply();
+    private ByteBuffer frame = allocateBuffer(1 << 16);
     private final byte[] head = new byte[4];
 
     public SimHost(InputStream in, OutputStream out) {
@@ -33,7 +33,7 @@
         this.out = out;
     }
 
-    private static ByteBuffer sized(int bytes) {
+    private static ByteBuffer allocateBuffer(int bytes) {
         return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
@@ -46,89 +46,90 @@
             }
             long length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
             if (got < 4 || length < 12 || length > Integer.MAX_VALUE - 16) {
-                throw new WireException(
+                throw new WireFormatException(
                         got < 4
                                 ? "frame " + frames + " is cut short in its length field"
                                 : "frame " + frames + " has a length of " + length);
             }
             if (frame.capacity() < length) {
-                frame = sized((int) length);
+                frame = allocateBuffer((int) length);
             }
             int read = in.readNBytes(frame.array(), 0, (int) length);
             if (read < length) {
-                throw new WireException("frame " + frames + " is cut short: " + read + " of " + length + " bytes");
+                throw new WireFormatException(
+                        "frame " + frames + " is cut short: " + read + " of " + length + " bytes");
             }
             frame.limit((int) length);
-            answer(new Wire.Batch(frame));
-            out.write(reply.frame());
+            processBatch(new WireFormat.Batch(frame));
+            out.write(reply.toFrame());
             out.flush();
             frame.clear();
             frames++;
         }
     }
 
-    private void answer(Wire.Batch batch) throws EOFException {
+    private void processBatch(WireFormat.Batch batch) throws EOFException {
         reply.clear();
         long now = batch.clockUs * 1000;
         Instance last = null;
-        for (int i = 0; i < batch.records; i++) {
-            int event = batch.open(i);
+        for (int i = 0; i < batch.recordCount; i++) {
+            int event = batch.selectRecord(i);
             int number = batch.u16(1);
             Instance instance = last != null && last.number == number ? last : instances.get(number);
-            if (event == Wire.UP) {
+            if (event == WireFormat.UP) {
                 instance = new Instance(number, reply);
                 instances.put(number, instance);
-            } else if (event > Wire.UP) {
-                throw new WireException(batch.place() + ": no such event");
+            } else if (event > WireFormat.UP) {
+                throw new WireFormatException(batch.describePosition() + ": no such event");
             } else if (instance == null) {
-                throw new WireException(batch.place() + ": this instance is not up");
+                throw new WireFormatException(batch.describePosition() + ": this instance is not up");
             }
-            if (event == Wire.STOP) {
+            if (event == WireFormat.STOP) {
                 instance.stopped = true;
                 instances.remove(number);
                 last = null;
                 continue;
             }
             last = instance;
-            if (!instance.touched) {
-                instance.touched = true;
+            if (!instance.isInBatch) {
+                instance.isInBatch = true;
                 touched.add(instance);
             }
             if (instance.crashed) {
                 continue;
             }
             try {
-                read(batch, event, instance, now);
-            } catch (WireException e) {
+                handleRecord(batch, event, instance, now);
+            } catch (WireFormatException e) {
                 throw e;
             } catch (RuntimeException e) {
-                instance.crash(e);
+                instance.reportCrash(e);
             }
         }
         for (int i = 0; i < touched.size(); i++) {
             Instance instance = touched.get(i);
-            instance.touched = false;
+            instance.isInBatch = false;
             if (!instance.stopped && !instance.crashed) {
                 try {
-                    instance.afterBatch(now);
+                    instance.onBatchFinished(now);
                 } catch (RuntimeException e) {
-                    instance.crash(e);
+                    instance.reportCrash(e);
                 }
             }
         }
         touched.clear();
     }
 
-    private void read(Wire.Batch b, int event, Instance instance, long now) {
+    private void handleRecord(WireFormat.Batch b, int event, Instance instance, long now) {
         Balancer balancer = instance.balancer;
         switch (event) {
-            case Wire.UP -> {
+            case WireFormat.UP -> {
                 long seed = b.u64(3);
-                instance.balancer = new Balancer(Ticket.read(b.tailBytes(11)), seed, now);
+                instance.balancer = new Balancer(SettingsParser.parse(b.tailBytes(11)), seed, now);
             }
-            case Wire.ARRIVAL -> {
+            case WireFormat.ARRIVAL -> {
                 int bits = b.u8(45);
-                instance.arrived(
+                instance.onArrival(
                         new Association(
                                 b.u64(3),
                                 b.u16(11),
@@ -141,7 +142,7 @@
                                 (bits & 16) != 0),
                         now);
             }
-            case Wire.TAKEN_OVER -> {
+            case WireFormat.TAKEN_OVER -> {
                 int bits = b.u8(51);
                 Association a = new Association(
                         b.u64(3),
@@ -153,60 +154,61 @@
                         (bits & 1) != 0 ? b.u32(47) * 1000.0 : 0,
                         (bits & 8) != 0,
                         (bits & 16) != 0);
-                instance.held.put(a.id, a);
-                balancer.takenOver(a, b.backend(37), now);
-            }
-            case Wire.FIRED -> instance.fired(now);
-            case Wire.SETTLED -> instance.settled(b.u64(3), b.u8(12), outcome(b, 19), b.u8(11) != 0, now);
-            case Wire.DISCOVERY -> roster(b, balancer, now);
-            case Wire.UPDATE_OF -> {
-                Association a = instance.held.get(b.u64(3));
+                instance.associations.put(a.id, a);
+                balancer.onConnectionAdopted(a, b.backend(37), now);
+            }
+            case WireFormat.FIRED -> instance.onTimer(now);
+            case WireFormat.SETTLED -> instance.onAttemptFinished(
+                    b.u64(3), b.u8(12), outcome(b, 19), b.u8(11) != 0, now);
+            case WireFormat.DISCOVERY -> handleRoster(b, balancer, now);
+            case WireFormat.UPDATE_OF -> {
+                Association a = instance.associations.get(b.u64(3));
                 if (b.u8(18) == 1) {
                     if (a != null) {
-                        balancer.loadNote(a, b.f32(19) * 1000.0, now);
+                        balancer.onLoadReport(a, b.f32(19) * 1000.0, now);
                     }
                 } else if (b.u8(18) == 2) {
-                    balancer.delayNote(b.backend(12), (long) (b.f32(19) * 1e6), now);
+                    balancer.onDelayReport(b.backend(12), (long) (b.f32(19) * 1e6), now);
                 }
             }
-            case Wire.EXPIRED -> instance.clientLeft(b.u64(3), now);
-            case Wire.ESTABLISHED -> {
-                Association a = instance.held.get(b.u64(3));
+            case WireFormat.EXPIRED -> instance.onClientLeft(b.u64(3), now);
+            case WireFormat.ESTABLISHED -> {
+                Association a = instance.associations.get(b.u64(3));
                 if (a != null) {
-                    balancer.established(a, b.u8(21), b.u32(11) * 1000, now);
+                    balancer.onConnectionEstablished(a, b.u8(21), b.u32(11) * 1000, now);
                 }
             }
-            case Wire.HEALTH, Wire.FROM_PEER -> {} // asked for by no chore of the module
-            default -> throw new WireException(b.place() + ": no such event");
+            case WireFormat.HEALTH, WireFormat.FROM_PEER -> {} // asked for by no chore of the module
+            default -> throw new WireFormatException(b.describePosition() + ": no such event");
         }
     }
 
-    private static Outcome outcome(Wire.Batch b, int offset) {
+    private static DispatchOutcome outcome(WireFormat.Batch b, int offset) {
         int code = b.u8(offset);
         if (code >= OUTCOMES.length) {
-            throw new WireException(b.place() + ": no such outcome " + code);
+            throw new WireFormatException(b.describePosition() + ": no such outcome " + code);
         }
         return OUTCOMES[code];
     }
 
-    private static void roster(Wire.Batch b, Balancer balancer, long now) {
+    private static void handleRoster(WireFormat.Batch b, Balancer balancer, long now) {
         int form = b.u8(3);
         if (form > 3) {
-            throw new WireException(b.place() + ": no such roster form " + form);
+            throw new WireFormatException(b.describePosition() + ": no such roster form " + form);
         }
         if (form == 3) {
-            balancer.rosterFailed(now);
+            balancer.onRosterCallFailed(now);
             return;
         }
-        int at = b.tailAt(8, Wire.ENTRY);
+        int at = b.tailOffset(8, WireFormat.ROSTER_ENTRY_BYTES);
         int n = b.i32(12);
-        List<Listed> lines = new ArrayList<>(n);
-        for (int i = 0; i < n; i++, at += Wire.ENTRY) {
+        List<RosterEntry> lines = new ArrayList<>(n);
+        for (int i = 0; i < n; i++, at += WireFormat.ROSTER_ENTRY_BYTES) {
             int stage = b.bytes.get(at + 10) & 0xff;
             if (stage >= STAGES.length) {
-                throw new WireException(b.place() + ": no such stage " + stage);
+                throw new WireFormatException(b.describePosition() + ": no such stage " + stage);
             }
-            lines.add(new Listed(
+            lines.add(new RosterEntry(
                     b.backendAt(at + 11),
                     STAGES[stage],
                     b.bytes.getLong(at) * 1000,
@@ -215,6 +217,6 @@
                     b.bytes.getShort(at + 21) & 0xffff,
                     b.bytes.getShort(at + 23) & 0xffff));
         }
-        balancer.roster(lines, form != 0, form == 2, now);
+        balancer.onRosterUpdate(lines, form != 0, form == 2, now);
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/Wire.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormat.java
@@ -6,10 +6,10 @@
 import java.util.Arrays;
 
 /** The wire's frames: one batch to read records from, one reply to write records to. */
-final class Wire {
-    static final int EVENT = 56;
-    static final int ACTION = 24;
-    static final int ENTRY = 25;
+final class WireFormat {
+    static final int EVENT_BYTES = 56;
+    static final int ACTION_BYTES = 24;
+    static final int ROSTER_ENTRY_BYTES = 25;
     /** Events. */
     static final int STOP = 0,
             ARRIVAL = 1,
@@ -38,16 +38,16 @@
             RELEASE = 11,
             EMIT = 12;
 
-    private Wire() {}
+    private WireFormat() {}
 
     /** The records and the tail of one batch, after its length field. */
     static final class Batch {
         final ByteBuffer bytes;
         final long clockUs;
-        final int records;
+        final int recordCount;
         private final int tail;
         /** Where the record in hand starts. */
-        int at;
+        int recordOffset;
 
         private int index;
 
@@ -55,47 +55,47 @@
             this.bytes = bytes;
             clockUs = bytes.getLong(0);
             long count = bytes.getInt(8) & 0xffffffffL;
-            if (12 + count * EVENT > bytes.limit()) {
-                throw new WireException("batch at clock " + clockUs + " names " + count + " records but holds "
-                        + (bytes.limit() - 12) / EVENT);
+            if (12 + count * EVENT_BYTES > bytes.limit()) {
+                throw new WireFormatException("batch at clock " + clockUs + " names " + count + " records but holds "
+                        + (bytes.limit() - 12) / EVENT_BYTES);
             }
-            records = (int) count;
-            tail = 12 + records * EVENT;
+            recordCount = (int) count;
+            tail = 12 + recordCount * EVENT_BYTES;
         }
 
-        int open(int record) {
+        int selectRecord(int record) {
             index = record;
-            at = 12 + record * EVENT;
+            recordOffset = 12 + record * EVENT_BYTES;
             return u8(0);
         }
 
         int u8(int offset) {
-            return bytes.get(at + offset) & 0xff;
+            return bytes.get(recordOffset + offset) & 0xff;
         }
 
         int u16(int offset) {
-            return bytes.getShort(at + offset) & 0xffff;
+            return bytes.getShort(recordOffset + offset) & 0xffff;
         }
 
         int i32(int offset) {
-            return bytes.getInt(at + offset);
+            return bytes.getInt(recordOffset + offset);
         }
 
         long u32(int offset) {
-            return bytes.getInt(at + offset) & 0xffffffffL;
+            return bytes.getInt(recordOffset + offset) & 0xffffffffL;
         }
 
         long u64(int offset) {
-            return bytes.getLong(at + offset);
+            return bytes.getLong(recordOffset + offset);
         }
 
         float f32(int offset) {
-            return bytes.getFloat(at + offset);
+            return bytes.getFloat(recordOffset + offset);
         }
 
         /** Address and port as one number, bytes in the order of the wire. */
         long backend(int offset) {
-            return backendAt(at + offset);
+            return backendAt(recordOffset + offset);
         }
 
         long backendAt(int where) {
@@ -103,24 +103,24 @@
         }
 
         /** Where the tail part that the field names starts, each of its items `size` bytes long. */
-        int tailAt(int offset, int size) {
+        int tailOffset(int offset, int size) {
             long start = u32(offset);
             long end = start + u32(offset + 4) * size;
             if (tail + end > bytes.limit()) {
-                throw new WireException(place() + " refers to tail bytes " + start + " to " + end
+                throw new WireFormatException(describePosition() + " refers to tail bytes " + start + " to " + end
                         + " but the tail holds " + (bytes.limit() - tail));
             }
             return tail + (int) start;
         }
 
         byte[] tailBytes(int offset) {
-            int from = tailAt(offset, 1);
+            int from = tailOffset(offset, 1);
             byte[] copy = new byte[i32(offset + 4)];
             bytes.get(from, copy);
             return copy;
         }
 
-        String place() {
+        String describePosition() {
             return "batch at clock " + clockUs + ", record " + index + " (event " + u8(0) + ", instance " + u16(1)
                     + ")";
         }
@@ -128,12 +128,12 @@
 
     /** A reply being built; kept and used again. */
     static final class Reply {
-        private ByteBuffer records = grown(ByteBuffer.allocate(0), 64 * ACTION);
-        private ByteBuffer tail = grown(ByteBuffer.allocate(0), 256);
+        private ByteBuffer records = growBuffer(ByteBuffer.allocate(0), 64 * ACTION_BYTES);
+        private ByteBuffer tail = growBuffer(ByteBuffer.allocate(0), 256);
         private int count;
-        private final byte[] none = new byte[ACTION];
+        private final byte[] emptyRecord = new byte[ACTION_BYTES];
 
-        private static ByteBuffer grown(ByteBuffer from, int size) {
+        private static ByteBuffer growBuffer(ByteBuffer from, int size) {
             ByteBuffer to = ByteBuffer.wrap(Arrays.copyOf(from.array(), size)).order(ByteOrder.LITTLE_ENDIAN);
             to.position(from.position());
             return to;
@@ -145,63 +145,63 @@
             count = 0;
         }
 
-        private ByteBuffer record(int code, int instance) {
-            if (records.remaining() < ACTION) {
-                records = grown(records, records.capacity() * 2);
+        private ByteBuffer startRecord(int code, int instance) {
+            if (records.remaining() < ACTION_BYTES) {
+                records = growBuffer(records, records.capacity() * 2);
             }
             int start = records.position();
-            records.put(none);
+            records.put(emptyRecord);
             records.put(start, (byte) code).putShort(start + 1, (short) instance);
             count++;
             return records;
         }
 
         private int start() {
-            return records.position() - ACTION;
+            return records.position() - ACTION_BYTES;
         }
 
-        void plain(int code, int instance) {
-            record(code, instance);
+        void addRecord(int code, int instance) {
+            startRecord(code, instance);
         }
 
-        void withByte(int code, int instance, int value) {
-            record(code, instance).put(start() + 3, (byte) value);
+        void addRecordWithByte(int code, int instance, int value) {
+            startRecord(code, instance).put(start() + 3, (byte) value);
         }
 
-        void withBackend(int code, int instance, long backend) {
-            record(code, instance);
+        void addRecordWithBackend(int code, int instance, long backend) {
+            startRecord(code, instance);
             backend(3, backend);
         }
 
-        void withId(int code, int instance, long id) {
-            record(code, instance).putLong(start() + 3, id);
+        void addRecordWithId(int code, int instance, long id) {
+            startRecord(code, instance).putLong(start() + 3, id);
         }
 
-        void withId(int code, int instance, long id, long value) {
-            record(code, instance).putLong(start() + 3, id).putInt(start() + 11, (int) value);
+        void addRecordWithId(int code, int instance, long id, long value) {
+            startRecord(code, instance).putLong(start() + 3, id).putInt(start() + 11, (int) value);
         }
 
-        void handOff(int instance, long id, long backend, long withinUs) {
-            record(HAND_OFF, instance).putLong(start() + 3, id).putInt(start() + 17, (int) withinUs);
+        void addDispatch(int instance, long id, long backend, long withinUs) {
+            startRecord(HAND_OFF, instance).putLong(start() + 3, id).putInt(start() + 17, (int) withinUs);
             backend(11, backend);
         }
 
-        void withBytes(int code, int instance, int fieldAt, byte[] bytes) {
+        void addRecordWithBytes(int code, int instance, int fieldAt, byte[] bytes) {
             while (tail.remaining() < bytes.length) {
-                tail = grown(tail, tail.capacity() * 2);
+                tail = growBuffer(tail, tail.capacity() * 2);
             }
-            record(code, instance).putInt(start() + fieldAt, tail.position());
+            startRecord(code, instance).putInt(start() + fieldAt, tail.position());
             records.putInt(start() + fieldAt + 4, bytes.length);
             tail.put(bytes);
         }
 
-        void publish(int instance, byte[] bytes) {
-            withBytes(PUBLISH, instance, 7, bytes);
+        void addPublish(int instance, byte[] bytes) {
+            addRecordWithBytes(PUBLISH, instance, 7, bytes);
             records.putInt(start() + 3, -1);
         }
 
-        void text(int code, int instance, String text) {
-            withBytes(code, instance, 3, text.getBytes(StandardCharsets.UTF_8));
+        void addRecordWithText(int code, int instance, String text) {
+            addRecordWithBytes(code, instance, 3, text.getBytes(StandardCharsets.UTF_8));
         }
 
         private void backend(int offset, long backend) {
@@ -210,7 +210,7 @@
         }
 
         /** The whole frame; valid until the next call. */
-        byte[] frame() {
+        byte[] toFrame() {
             int body = records.position() + tail.position();
             byte[] frame = new byte[8 + body];
             ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).putInt(count).putInt(body);
--- a/relay/src/main/java/ambertrestle/simhost/WireException.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormatException.java
@@ -1,10 +1,10 @@
 package ambertrestle.simhost;
 
 /** Input that is not the wire's: the message names what and where. */
-public final class WireException extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public WireException(String message) {
+    public WireFormatException(String message) {
         super(message);
     }
 }
--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ambertrestle.relay.life.RunSheet;
-import ambertrestle.relay.memory.Placement;
+import ambertrestle.relay.connection.PlacementPreview;
+import ambertrestle.relay.server.RelayConfiguration;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.io.PrintWriter;
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void helpAndVersionEndWithZeroAndWrongUsageWithTwo() {
+    void exitsWithZeroOnHelpAndVersionAndTwoOnWrongUsage() {
         assertThat(run("--help")).isZero();
         assertThat(run("--version")).isZero();
         assertThat(out.toString()).contains("Exit codes:").contains("ambertrestle 0.2.0");
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theShippedFilesAreFine() {
+    void checkAcceptsShippedFiles() {
         assertThat(run(
                         "check",
                         "--config",
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void checkNamesEveryFaultOfBothFilesByLineAndKey() throws Exception {
+    void checkReportsEveryFaultOfBothFilesByLineAndKey() throws Exception {
         String json = Files.readString(REHEARSAL)
                 .replace("\"seed\": \"1\"", "\"seed\": \"x1\"")
                 .replace("\"sockets\": 256", "\"sockets\": 12")
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void checkSaysWhereAFileStopsBeingJsonOrToml() throws Exception {
+    void checkReportsLineOfSyntaxError() throws Exception {
         Path config = file("config.json", "{\"name\": \"a\",\n\"seed\" \"1\"}");
         Path operator = file("operator.toml", "[log]\nformat = = 1\n");
         assertThat(run("check", "--config", config.toString(), "--operator", operator.toString()))
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void whatOnlyTheModuleChecksIsFoundTooBeforeAnythingStarts() throws Exception {
+    void checkReportsFaultsThatOnlyTheBalancerDetects() throws Exception {
         Path config = file("config.json", Files.readString(REHEARSAL).replace("\"drainGraceUs\": 1000000, ", ""));
         assertThat(run("check", "--config", config.toString())).isEqualTo(1);
         assertThat(err.toString()).contains("rules.drainGrace is missing");
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void placeGivesEachKeyTheBackendThatEveryRelayJustStartedPicks() throws Exception {
+    void placePrintsBackendThatFreshRelaysSelect() throws Exception {
         Path roster = roster(20, "in_service");
         assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", roster.toString(), "ff", "1", "ff"))
                 .isZero();
@@ -142,18 +142,18 @@
     /** Nothing that one key does may move another: all at once as each alone. */
     @Test
     void keysAreIndependent() throws Exception {
-        RunSheet sheet = RunSheet.read(Map.of("BALANCER_CONFIG", REHEARSAL.toString()));
+        RelayConfiguration sheet = RelayConfiguration.read(Map.of("BALANCER_CONFIG", REHEARSAL.toString()));
         var message = ambertrestle.relay.wire.RosterMessage.decode(
                 new JsonObject(Files.readString(roster(50, "in_service"))));
-        Placement together = new Placement(sheet.values(), message, 1);
+        PlacementPreview together = new PlacementPreview(sheet.values(), message, 1);
         for (long key = 1; key < 300; key++) {
-            assertThat(together.pick(key))
-                    .isEqualTo(new Placement(sheet.values().withSeed(key), message, 1).pick(key));
+            assertThat(together.selectBackend(key))
+                    .isEqualTo(new PlacementPreview(sheet.values().withSeed(key), message, 1).selectBackend(key));
         }
     }
 
     @Test
-    void placeSaysDashForNoBackendAndRefusesWhatIsNoKey() throws Exception {
+    void placePrintsDashWithoutBackendAndRejectsMalformedKey() throws Exception {
         Path none = roster(0, "in_service");
         assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", none.toString(), "ab"))
                 .isZero();
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void serveRefusesAFaultyOperatorFileBeforeItStarts() throws Exception {
+    void serveRejectsFaultyOperatorFileBeforeStart() throws Exception {
         Path operator = file("operator.toml", "[log]\nformat = 3\n");
         assertThat(run("serve", "--operator", operator.toString())).isEqualTo(1);
         assertThat(err.toString())
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import ambertrestle.decide.Kept;
-import ambertrestle.decide.Kept.Judged;
-import ambertrestle.decide.Kept.Pin;
-import ambertrestle.decide.Kept.Whole;
-import ambertrestle.decide.Listed.Stage;
-import ambertrestle.relay.durable.Picture;
-import ambertrestle.relay.durable.StateFile;
-import ambertrestle.relay.life.OperatorFile;
+import ambertrestle.decide.LearnedState;
+import ambertrestle.decide.LearnedState.BackendStatistics;
+import ambertrestle.decide.LearnedState.Pin;
+import ambertrestle.decide.LearnedState.RelayStatistics;
+import ambertrestle.decide.RosterEntry.Stage;
+import ambertrestle.relay.persistence.StateFileCodec;
+import ambertrestle.relay.persistence.StateSnapshot;
+import ambertrestle.relay.server.OperatorConfiguration;
 import ambertrestle.relay.wire.RosterMessage;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -36,20 +36,20 @@
                 .execute(args);
     }
 
-    private static Picture picture() {
-        long a = RosterMessage.id("a");
-        return new Picture(
+    private static StateSnapshot picture() {
+        long a = RosterMessage.backendId("a");
+        return new StateSnapshot(
                 "r",
                 "d:1",
                 AT,
                 AT,
                 new RosterMessage(
-                        41, true, List.of(new RosterMessage.Line("a", "10.0.0.1:80", Stage.READY, "w", "m", 0, 1, 0))),
-                new Kept(
+                        41, true, List.of(new RosterMessage.Entry("a", "10.0.0.1:80", Stage.READY, "w", "m", 0, 1, 0))),
+                new LearnedState(
                         1,
-                        new Whole(22, 10_000_000_000L, 5e6, 0, 0, 0),
-                        List.of(new Judged(a, 0, AT, 1, 8, 4, 40_000_000, AT, 0)),
-                        List.of(new Pin(-7, a, Pin.OPEN), new Pin(8, a, AT)),
+                        new RelayStatistics(22, 10_000_000_000L, 5e6, 0, 0, 0),
+                        List.of(new BackendStatistics(a, 0, AT, 1, 8, 4, 40_000_000, AT, 0)),
+                        List.of(new Pin(-7, a, Pin.IN_USE), new Pin(8, a, AT)),
                         false));
     }
 
@@ -60,9 +60,9 @@
     private List<String> faults(String durable) throws Exception {
         Path file = Files.writeString(dir.resolve("operator.toml"), "[durable]\n" + durable);
         try {
-            OperatorFile.read(file);
+            OperatorConfiguration.read(file);
             return List.of();
-        } catch (OperatorFile.Faulty e) {
+        } catch (OperatorConfiguration.InvalidOperatorFileException e) {
             return e.faults().stream()
                     .map(f -> f.toString().replace(file + ":", "").replace(dir.toString(), "DIR"))
                     .toList();
@@ -70,8 +70,8 @@
     }
 
     @Test
-    void aWholeFileIsVerifiedAndShownWithNamesAndWeights() throws Exception {
-        Path file = file(StateFile.encode(picture()));
+    void verifiesAndShowsValidFile() throws Exception {
+        Path file = file(StateFileCodec.encode(picture()));
         assertThat(run("state", "verify", file.toString())).isZero();
         assertThat(out.toString()).contains("whole, kept by r at 2023-11-14T22:13:20Z: 1 backends, 1 judged, 2 pins");
         assertThat(run("state", "show", "--pins", file.toString())).isZero();
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void aTornFileIsToldWithItsReasonAndCodeOne() throws Exception {
-        byte[] whole = StateFile.encode(picture());
+    void reportsTruncatedFileWithReasonAndExitCodeOne() throws Exception {
+        byte[] whole = StateFileCodec.encode(picture());
         Path file = file(java.util.Arrays.copyOf(whole, whole.length - 9));
         assertThat(run("state", "verify", file.toString())).isEqualTo(1);
         assertThat(err.toString())
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void eachFaultOfDurableIsNamedByItsKey() throws Exception {
+    void reportsEachFaultyKeyOfDurableTable() throws Exception {
         assertThat(faults("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
         assertThat(faults("folder = \"" + dir.resolve("none") + "\"\n"))
                 .containsExactly(
--- a/relay/src/test/java/ambertrestle/relay/durable/FaultyDisk.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/FaultyStorage.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.durable;
+package ambertrestle.relay.persistence;
 
 import java.io.IOException;
 import java.util.Arrays;
@@ -9,9 +9,9 @@
  * A folder in memory whose every step can fail, or be the last that the process takes. After a kill, what was written
  * stands up to the byte it had come to, and names stand as far as they were changed.
  */
-final class FaultyDisk implements Disk {
+final class FaultyStorage implements Storage {
     /** The process is gone in the middle of a step. */
-    static final class Killed extends RuntimeException {
+    static final class ProcessKilledException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
@@ -19,17 +19,17 @@
     /** What must not happen before what: each step by name. */
     final StringBuilder steps = new StringBuilder();
     /** So many units are left before the kill: a byte written is one, a rename, a sync and a deletion each one. */
-    long lives = Long.MAX_VALUE;
+    long unitsBeforeKill = Long.MAX_VALUE;
     /** So many bytes fit in all. */
-    long room = Long.MAX_VALUE;
+    long capacityBytes = Long.MAX_VALUE;
 
     boolean readOnly;
     /** Another relay holds it. */
-    boolean others;
+    boolean isLockedByOtherRelay;
 
-    private void live() {
-        if (lives-- <= 0) {
-            throw new Killed();
+    private void consumeUnit() {
+        if (unitsBeforeKill-- <= 0) {
+            throw new ProcessKilledException();
         }
     }
 
@@ -37,7 +37,7 @@
         if (readOnly) {
             throw new IOException("Read-only file system");
         }
-        live();
+        consumeUnit();
         steps.append(what).append(' ');
     }
 
@@ -46,8 +46,8 @@
         if (readOnly) {
             throw new IOException("Read-only file system");
         }
-        if (others) {
-            throw new InUse();
+        if (isLockedByOtherRelay) {
+            throw new DirectoryInUseException();
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> listFileNames() {
         return List.copyOf(files.keySet());
     }
 
@@ -78,12 +78,12 @@
         }
         files.put(name, new byte[0]);
         long used = files.values().stream().mapToLong(f -> f.length).sum();
-        int fits = (int) Math.min(bytes.length, Math.max(0, room - used));
-        int reached = (int) Math.min(fits, lives);
+        int fits = (int) Math.min(bytes.length, Math.max(0, capacityBytes - used));
+        int reached = (int) Math.min(fits, unitsBeforeKill);
         files.put(name, Arrays.copyOf(bytes, reached));
-        lives -= reached;
+        unitsBeforeKill -= reached;
         if (reached < fits) {
-            throw new Killed();
+            throw new ProcessKilledException();
         }
         if (fits < bytes.length) {
             throw new IOException("No space left on device");
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         step("sync-names");
     }
 
--- a/relay/src/test/java/ambertrestle/relay/life/LogTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/LogTest.java
@@ -1,4 +1,4 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -39,7 +39,7 @@
     }
 
     private static void garbled() {
-        Log.tell(
+        Log.log(
                 System.Logger.Level.INFO,
                 "backend-garbled",
                 "a backend sent {0} \"no line\"",
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void aTextLineHasTimeLevelEventWordsAndNamedFields() {
-        assertThat(logged(new Log.Text(), LogTest::garbled))
+    void formatsTextLineWithTimeLevelEventMessageAndFields() {
+        assertThat(logged(new Log.TextFormatter(), LogTest::garbled))
                 .singleElement()
                 .asString()
                 .matches(
@@ -57,8 +57,8 @@
     }
 
     @Test
-    void aJsonLineIsOneObjectWithTheSame() {
-        List<String> lines = logged(new Log.Json(), LogTest::garbled);
+    void formatsJsonLineAsOneObject() {
+        List<String> lines = logged(new Log.JsonFormatter(), LogTest::garbled);
         assertThat(lines).singleElement().asString().doesNotContain("\n ");
         JsonObject json = new JsonObject(lines.get(0));
         assertThat(json.getString("event")).isEqualTo("backend-garbled");
@@ -70,10 +70,10 @@
     }
 
     @Test
-    void aFailureKeepsItsTraceInOneField() {
+    void putsStackTraceOfFailureInOneField() {
         assertThat(logged(
-                        new Log.Json(),
-                        () -> Log.failed("event-failed", "an event failed", new IllegalStateException("why"))))
+                        new Log.JsonFormatter(),
+                        () -> Log.logFailure("event-failed", "an event failed", new IllegalStateException("why"))))
                 .singleElement()
                 .satisfies(line -> assertThat(new JsonObject(line).getString("trace"))
                         .startsWith("java.lang.IllegalStateException: why")
@@ -82,8 +82,8 @@
 
     /** What libraries log has no event of ours. */
     @Test
-    void aLibrarysLineIsToldUnderItsLoggersName() {
-        assertThat(logged(new Log.Text(), () -> Logger.getLogger("ambertrestle.other")
+    void usesLoggerNameAsEventOfLibraryMessages() {
+        assertThat(logged(new Log.TextFormatter(), () -> Logger.getLogger("ambertrestle.other")
                         .log(java.util.logging.Level.WARNING, "{0} left", 3)))
                 .singleElement()
                 .asString()
--- a/relay/src/test/java/ambertrestle/relay/life/RunSheetTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -1,11 +1,11 @@
-package ambertrestle.relay.life;
+package ambertrestle.relay.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import ambertrestle.decide.Listed.Stage;
+import ambertrestle.decide.RosterEntry.Stage;
 import ambertrestle.relay.wire.Address;
-import ambertrestle.relay.wire.Names;
+import ambertrestle.relay.wire.ConfiguredNames;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class RunSheetTest {
+class RelayConfigurationTest {
     private static final String GOOD =
             """
         {"name":"n3","listen":"127.0.0.1:80","discovery":"127.0.0.2:85","seed":"ff00000000000001",
@@ -30,8 +30,8 @@
     @TempDir
     private Path dir;
 
-    private RunSheet read(String json) throws Exception {
-        return RunSheet.read(Map.of(
+    private RelayConfiguration read(String json) throws Exception {
+        return RelayConfiguration.read(Map.of(
                 "BALANCER_CONFIG",
                 Files.writeString(dir.resolve("c.json"), json).toString(),
                 "BALANCER_LISTEN",
@@ -39,18 +39,18 @@
     }
 
     @Test
-    void readsChecksAndNames() throws Exception {
-        RunSheet sheet = read(GOOD);
-        assertThat(sheet.listen()).isEqualTo(new Address("127.0.0.5", 81));
-        assertThat(sheet.connectMillis()).isEqualTo(150);
-        assertThat(sheet.known().lines().get(0).stage()).isEqualTo(Stage.DRAINING);
+    void readsValidConfiguration() throws Exception {
+        RelayConfiguration sheet = read(GOOD);
+        assertThat(sheet.listenAddress()).isEqualTo(new Address("127.0.0.5", 81));
+        assertThat(sheet.connectTimeoutMillis()).isEqualTo(150);
+        assertThat(sheet.initialRoster().entries().get(0).stage()).isEqualTo(Stage.DRAINING);
         assertThat(sheet.values().seed()).isEqualTo(0xff00000000000001L);
-        assertThat(sheet.names()).isEqualTo(new Names(List.of("read it"), List.of("x")));
+        assertThat(sheet.names()).isEqualTo(new ConfiguredNames(List.of("read it"), List.of("x")));
         assertThat(sheet.values().cutOffs()).containsExactly(2_000_000L);
-        assertThat(sheet.values().messageGoal()).isEqualTo(60_000);
-        assertThat(sheet.values().mostSockets()).isEqualTo(136);
-        assertThat(sheet.values().packetsPass()).isTrue();
-        assertThat(sheet.values().jobTicket())
+        assertThat(sheet.values().messageGoalTime()).isEqualTo(60_000);
+        assertThat(sheet.values().maxSockets()).isEqualTo(136);
+        assertThat(sheet.values().isPassThrough()).isTrue();
+        assertThat(sheet.values().settings())
                 .containsEntry("relays", "4")
                 .containsEntry("useCases.count", "1")
                 .containsEntry("useCases.0.effect", "retriable")
@@ -72,14 +72,14 @@
                 "\"discovery\":\"127.0.0.2:85\" | \"discovery\":\"here\" "
                         + "| discovery is malformed: expected an address and port, got here"
             })
-    void namesTheFaultyKey(String part, String broken, String message) {
+    void reportsFaultyKey(String part, String broken, String message) {
         assertThat(GOOD).contains(part);
         assertThatThrownBy(() -> read(GOOD.replace(part, broken))).hasMessage(message);
     }
 
     @Test
-    void aNewFileWinsForTheRosterServiceAndTellsWhatWaitsForAStart() throws Exception {
-        RunSheet first = read(GOOD);
+    void reloadTakesRosterAddressFromFileAndListsKeysNeedingRestart() throws Exception {
+        RelayConfiguration first = read(GOOD);
         String moved = GOOD.replace("127.0.0.2:85", "127.0.0.3:86").replace("\"sockets\":200", "\"sockets\":300");
         Map<String, String> environment = Map.of(
                 "BALANCER_DISCOVERY",
@@ -88,18 +88,19 @@
                 "127.0.0.5:81",
                 "BALANCER_CONFIG",
                 Files.writeString(dir.resolve("d.json"), moved).toString());
-        RunSheet later = RunSheet.read(environment);
-        assertThat(later.values().rosterAt()).isEqualTo(new Address("127.0.0.3", 86));
-        assertThat(later.values().mostSockets()).isEqualTo(236);
-        assertThat(first.onlyAtStart(later)).isEmpty();
-        assertThat(first.onlyAtStart(
+        RelayConfiguration later = RelayConfiguration.read(environment);
+        assertThat(later.values().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
+        assertThat(later.values().maxSockets()).isEqualTo(236);
+        assertThat(first.keysNeedingRestart(later)).isEmpty();
+        assertThat(first.keysNeedingRestart(
                         read(GOOD.replace("\"siblings\":4", "\"siblings\":5").replace("n3", "n4"))))
                 .containsExactly("name", "settings");
     }
 
     @Test
-    void namesAMissingVariableAndWhatIsNoJson() {
-        assertThatThrownBy(() -> RunSheet.read(Map.of())).hasMessageStartingWith("BALANCER_CONFIG is missing");
+    void reportsMissingVariableAndInvalidJson() {
+        assertThatThrownBy(() -> RelayConfiguration.read(Map.of()))
+                .hasMessageStartingWith("BALANCER_CONFIG is missing");
         assertThatThrownBy(() -> read("{")).hasMessageEndingWith("which is not JSON");
         assertThatThrownBy(() -> read("null")).hasMessageEndingWith("which is not JSON");
     }
--- a/relay/src/test/java/ambertrestle/relay/wire/RosterStreamTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/RosterStreamParserTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What a watch brings, in any white space and any pieces, is the same list. */
-class RosterStreamTest {
-    private final List<Heard.Roster> heard = new ArrayList<>();
-    private final List<String> broke = new ArrayList<>();
-    private RosterStream stream = new RosterStream(heard::add, broke::add);
+class RosterStreamParserTest {
+    private final List<NetworkEvent.RosterReceived> messages = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
+    private RosterStreamParser parser = new RosterStreamParser(messages::add, errors::add);
 
     private static JsonObject list(int index, int entries) {
         JsonArray all = new JsonArray();
@@ -32,12 +32,12 @@
     }
 
     private void feed(String text) {
-        stream.feed(Buffer.buffer(text));
+        parser.feed(Buffer.buffer(text));
     }
 
-    private void again() {
-        heard.clear();
-        stream = new RosterStream(heard::add, broke::add);
+    private void reset() {
+        messages.clear();
+        parser = new RosterStreamParser(messages::add, errors::add);
     }
 
     /**
@@ -45,7 +45,7 @@
      * old one.
      */
     @Test
-    void theSameListCompactIndentedWithReturnsAndCutAtEveryByteIsTheSameList() {
+    void parsesSameRosterRegardlessOfWhitespaceAndFragmentation() {
         JsonObject list = list(41, 3);
         RosterMessage wanted = RosterMessage.decode(list);
         String indented = list.encodePrettily();
@@ -56,90 +56,94 @@
                 indented,
                 " \n\t" + indented)) {
             for (int cut = 0; cut <= text.length(); cut++) {
-                again();
+                reset();
                 feed(text.substring(0, cut));
                 feed(text.substring(cut));
-                assertThat(heard).extracting(Heard.Roster::message).containsExactly(wanted);
+                assertThat(messages)
+                        .extracting(NetworkEvent.RosterReceived::message)
+                        .containsExactly(wanted);
             }
         }
-        assertThat(broke).isEmpty();
+        assertThat(errors).isEmpty();
     }
 
     @Test
-    void severalListsInOnePieceAndEmptyLinesBetweenThem() {
+    void parsesSeveralMessagesInOneChunkSeparatedByEmptyLines() {
         feed("\r\n\n" + list(1, 1).encode() + list(2, 2).encodePrettily() + "\n\n"
                 + list(3, 1).encode() + "\n");
         feed("\n");
-        assertThat(heard).extracting(h -> h.message().index()).containsExactly(1L, 2L, 3L);
-        assertThat(broke).isEmpty();
+        assertThat(messages).extracting(h -> h.message().version()).containsExactly(1L, 2L, 3L);
+        assertThat(errors).isEmpty();
     }
 
     /** What is kept beyond the process says when the list was last heard to stand. */
     @Test
-    void onlyAWholeListOrAnEmptyLineSaysThatTheListStands() {
+    void onlyCompleteMessageOrEmptyLineConfirmsRoster() {
         String list = list(1, 2).encodePrettily();
         feed(list.substring(0, 40));
-        assertThat(stream.whole()).isFalse();
+        assertThat(parser.isAtMessageBoundary()).isFalse();
         feed(list.substring(40) + "\n");
-        assertThat(stream.whole()).isTrue();
+        assertThat(parser.isAtMessageBoundary()).isTrue();
         feed("\r\n");
-        assertThat(stream.whole()).isTrue();
+        assertThat(parser.isAtMessageBoundary()).isTrue();
         feed("nonsense\n");
-        assertThat(stream.whole()).isFalse();
+        assertThat(parser.isAtMessageBoundary()).isFalse();
     }
 
     @Test
-    void listsOfThousandsAreReadInPiecesOfAnySize() {
+    void parsesLargeRostersInChunks() {
         for (int entries : new int[] {1_024, 5_000}) {
-            again();
+            reset();
             String text = list(9, entries).encodePrettily();
             for (int from = 0; from < text.length(); from += 1_447) {
                 feed(text.substring(from, Math.min(text.length(), from + 1_447)));
             }
-            assertThat(heard)
+            assertThat(messages)
                     .singleElement()
-                    .satisfies(h -> assertThat(h.message().lines()).hasSize(entries));
+                    .satisfies(h -> assertThat(h.message().entries()).hasSize(entries));
         }
-        assertThat(broke).isEmpty();
+        assertThat(errors).isEmpty();
     }
 
     @Test
-    void aFaultyEntryIsLeftOutAndNamedAndTheRestHolds() {
+    void skipsAndReportsFaultyEntries() {
         JsonObject list = list(5, 4);
         list.getJsonArray("endpoints").getJsonObject(1).put("status", "retired");
         list.getJsonArray("endpoints").getJsonObject(2).remove("address");
         list.getJsonArray("endpoints").add(17).add(new JsonObject().put("status", "in_service"));
         feed(list.encode());
-        assertThat(heard).singleElement().satisfies(h -> {
-            assertThat(h.message().lines()).extracting(RosterMessage.Line::name).containsExactly("s-0", "s-3");
-            assertThat(h.faulty())
+        assertThat(messages).singleElement().satisfies(h -> {
+            assertThat(h.message().entries())
+                    .extracting(RosterMessage.Entry::name)
+                    .containsExactly("s-0", "s-3");
+            assertThat(h.faultyEntries())
                     .containsEntry("s-1", "status of s-1 is not known")
                     .containsEntry("s-2", "address of s-2 is missing")
                     .containsOnlyKeys("s-1", "s-2", "entry 4", "entry 5");
         });
-        assertThat(broke).isEmpty();
+        assertThat(errors).isEmpty();
     }
 
     @Test
-    void whatIsNoListIsToldOnceAndNothingAfterItIsHeard() {
+    void reportsMalformedInputOnceAndIgnoresTheRest() {
         for (String text : List.of(
                 "{\"index\":1,\"endpoints\":[}", "17 ", "{\"snapshot\":true,\"endpoints\":[]}", "{\"index\":\"x\"}")) {
-            again();
-            broke.clear();
+            reset();
+            errors.clear();
             feed(text);
             feed(list(2, 1).encode());
-            assertThat(broke).as(text).singleElement().asString().startsWith("nonsense: ");
-            assertThat(heard).isEmpty();
+            assertThat(errors).as(text).singleElement().asString().startsWith("nonsense: ");
+            assertThat(messages).isEmpty();
         }
     }
 
     @Test
-    void anObjectWithoutEndIsGivenUpBeforeItFillsTheMemory() {
+    void rejectsMessageAboveSizeLimit() {
         feed("{\"index\":1,\"endpoints\":[");
         String entry = list(1, 1).getJsonArray("endpoints").encode();
-        for (int sent = 0; sent <= RosterStream.LONGEST && broke.isEmpty(); sent += 10_000) {
+        for (int sent = 0; sent <= RosterStreamParser.MAX_MESSAGE_BYTES && errors.isEmpty(); sent += 10_000) {
             feed((entry.substring(1, entry.length() - 1) + ",").repeat(100));
         }
-        assertThat(broke).containsExactly("a message too long");
+        assertThat(errors).containsExactly("a message too long");
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/wire/SocketsTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/SocketManagerTest.java
@@ -20,11 +20,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Real sockets on loopback against stand-ins of the test's own. */
-class SocketsTest {
-    private final Vertx vertx = Vertx.builder().withTransport(new OneLoop()).build();
-    private final LinkedBlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
-    private final Sockets sockets = new Sockets(vertx, 2000, new Names(List.of("read"), List.of()), heard::add);
-    private final InetAddress here = InetAddress.getLoopbackAddress();
+class SocketManagerTest {
+    private final Vertx vertx =
+            Vertx.builder().withTransport(new SingleEventLoopTransport()).build();
+    private final LinkedBlockingQueue<NetworkEvent> events = new LinkedBlockingQueue<>();
+    private final SocketManager sockets =
+            new SocketManager(vertx, 2000, new ConfiguredNames(List.of("read"), List.of()), events::add);
+    private final InetAddress loopback = InetAddress.getLoopbackAddress();
 
     @AfterEach
     void close() {
@@ -32,16 +34,16 @@
     }
 
     /** The next that is heard, or null where nothing comes. */
-    private Heard next() throws InterruptedException {
-        return heard.poll(10, TimeUnit.SECONDS);
+    private NetworkEvent pollEvent() throws InterruptedException {
+        return events.poll(10, TimeUnit.SECONDS);
     }
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void ask(Ask ask) {
-        vertx.runOnContext(v -> sockets.carryOut(ask));
+    private void execute(NetworkCommand ask) {
+        vertx.runOnContext(v -> sockets.execute(ask));
     }
 
     private Socket client() throws Exception {
@@ -49,13 +51,13 @@
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
-        Socket client = new Socket(here, port);
-        assertThat(next()).isEqualTo(new Heard.Accepted(1));
+        Socket client = new Socket(loopback, port);
+        assertThat(pollEvent()).isEqualTo(new NetworkEvent.ClientAccepted(1));
         return client;
     }
 
     @Test
-    void linesInPiecesThenAHalfClose() throws Exception {
+    void decodesFragmentedLinesAndReportsHalfClose() throws Exception {
         try (Socket client = client()) {
             OutputStream out = client.getOutputStream();
             for (String piece : new String[] {"PI", "NG\r", "\nPING\r\nPING\r\nP"}) {
@@ -63,30 +65,31 @@
                 out.flush();
             }
             for (int i = 0; i < 3; i++) {
-                assertThat(((Heard.ClientSaid) next()).line()).isInstanceOf(FromClient.Ping.class);
+                assertThat(((NetworkEvent.ClientMessageReceived) pollEvent()).message())
+                        .isInstanceOf(ClientMessage.Ping.class);
             }
             client.shutdownOutput();
-            assertThat(next()).isEqualTo(new Heard.Ended(1));
-            ask(new Ask.Write(1, bytes("BUSY\r\n")));
-            ask(new Ask.Close(1));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.InputShutdown(1));
+            execute(new NetworkCommand.Write(1, bytes("BUSY\r\n")));
+            execute(new NetworkCommand.Close(1));
             assertThat(new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                     .isEqualTo("BUSY\r\n");
-            assertThat(next()).isEqualTo(new Heard.Gone(1, false));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.SocketClosed(1, false));
         }
     }
 
     @Test
-    void aLineTooLongIsGarbledAndAResetIsToldApart() throws Exception {
+    void reportsFramingErrorForOverlongLineAndDistinguishesReset() throws Exception {
         try (Socket client = client()) {
             client.getOutputStream().write(new byte[5000]);
-            assertThat(next()).isEqualTo(new Heard.Garbled(1));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.FramingError(1));
             client.setSoLinger(true, 0);
         }
-        assertThat(next()).isEqualTo(new Heard.Gone(1, true));
+        assertThat(pollEvent()).isEqualTo(new NetworkEvent.SocketClosed(1, true));
     }
 
     @Test
-    void nothingIsAcceptedWhileTheLoopIsBusy() throws Exception {
+    void acceptsNoConnectionWhileEventLoopIsBusy() throws Exception {
         UnixOperatingSystemMXBean system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         int port = sockets.listen("127.0.0.1", 0)
                 .toCompletionStage()
@@ -106,13 +109,13 @@
         long before = system.getOpenFileDescriptorCount();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            clients.add(new Socket(here, port));
+            clients.add(new Socket(loopback, port));
         }
         Thread.sleep(300);
         assertThat(system.getOpenFileDescriptorCount() - before).isLessThan(60);
         free.countDown();
         for (int i = 1; i <= 40; i++) {
-            assertThat(next()).isEqualTo(new Heard.Accepted(i));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.ClientAccepted(i));
         }
         for (Socket client : clients) {
             client.close();
@@ -120,56 +123,57 @@
     }
 
     @Test
-    void dialledSocketsTellHowFarTheyCame() throws Exception {
-        try (ServerSocket backend = new ServerSocket(0, 5, here)) {
-            ask(new Ask.Dial(-1, "127.0.0.1:" + backend.getLocalPort(), bytes("OPEN\r\n")));
+    void reportsProgressOfBackendConnection() throws Exception {
+        try (ServerSocket backend = new ServerSocket(0, 5, loopback)) {
+            execute(new NetworkCommand.Connect(-1, "127.0.0.1:" + backend.getLocalPort(), bytes("OPEN\r\n")));
             try (Socket up = backend.accept()) {
-                assertThat(next()).isEqualTo(new Heard.Connected(-1));
-                assertThat(next()).isEqualTo(new Heard.Written(-1));
+                assertThat(pollEvent()).isEqualTo(new NetworkEvent.BackendConnected(-1));
+                assertThat(pollEvent()).isEqualTo(new NetworkEvent.FirstLineWritten(-1));
                 assertThat(up.getInputStream().readNBytes(6)).isEqualTo(bytes("OPEN\r\n"));
                 up.getOutputStream().write(bytes("UP 1\r\nLOAD 7.5\r\n"));
-                assertThat(((Heard.BackendSaid) next()).line()).isInstanceOf(FromBackend.Up.class);
-                FromBackend load = ((Heard.BackendSaid) next()).line();
-                assertThat(((FromBackend.Load) load).micros()).isEqualTo(7.5);
-                ask(new Ask.Finish(-1));
+                assertThat(((NetworkEvent.BackendMessageReceived) pollEvent()).message())
+                        .isInstanceOf(BackendMessage.Up.class);
+                BackendMessage load = ((NetworkEvent.BackendMessageReceived) pollEvent()).message();
+                assertThat(((BackendMessage.Load) load).microsPerSecond()).isEqualTo(7.5);
+                execute(new NetworkCommand.ShutdownOutput(-1));
                 InputStream in = up.getInputStream();
                 assertThat(in.read()).isEqualTo(-1);
             }
-            assertThat(next()).isEqualTo(new Heard.Ended(-1));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.InputShutdown(-1));
         }
     }
 
     @Test
-    void refusedConnectionIsGoneWithoutAWord() throws Exception {
+    void reportsResetForRefusedConnectionAndInvalidAddress() throws Exception {
         int port;
-        try (ServerSocket backend = new ServerSocket(0, 5, here)) {
+        try (ServerSocket backend = new ServerSocket(0, 5, loopback)) {
             port = backend.getLocalPort();
         }
-        ask(new Ask.Dial(-1, "127.0.0.1:" + port, bytes("OPEN\r\n")));
-        assertThat(next()).isEqualTo(new Heard.Gone(-1, true));
+        execute(new NetworkCommand.Connect(-1, "127.0.0.1:" + port, bytes("OPEN\r\n")));
+        assertThat(pollEvent()).isEqualTo(new NetworkEvent.SocketClosed(-1, true));
         for (String address : new String[] {"nowhere", "127.0.0.1:99999", ":1"}) {
-            ask(new Ask.Dial(-2, address, bytes("OPEN\r\n")));
-            assertThat(next()).isEqualTo(new Heard.Gone(-2, true));
+            execute(new NetworkCommand.Connect(-2, address, bytes("OPEN\r\n")));
+            assertThat(pollEvent()).isEqualTo(new NetworkEvent.SocketClosed(-2, true));
         }
     }
 
     @Test
-    void aWatchThatFallsSilentBreaksBeforeTwoOfItsSignsAreMissed() throws Exception {
-        try (ServerSocket service = new ServerSocket(0, 5, here)) {
-            RosterWatch watch = new RosterWatch(vertx, heard::add);
-            vertx.runOnContext(v -> watch.ask(new Address("127.0.0.1", service.getLocalPort()), 41));
+    void idleWatchFailsBeforeTwoHeartbeatsAreMissed() throws Exception {
+        try (ServerSocket service = new ServerSocket(0, 5, loopback)) {
+            RosterWatcher watch = new RosterWatcher(vertx, events::add);
+            vertx.runOnContext(v -> watch.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
             try (Socket call = service.accept()) {
                 call.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
-                assertThat(heard.poll(4, TimeUnit.SECONDS)).isEqualTo(new Heard.RosterBroke("silent"));
+                assertThat(events.poll(4, TimeUnit.SECONDS)).isEqualTo(new NetworkEvent.RosterWatchFailed("silent"));
             }
         }
     }
 
     @Test
-    void watchHearsPiecesOfMessagesAndTheEnd() throws Exception {
-        try (ServerSocket service = new ServerSocket(0, 5, here)) {
-            RosterWatch watch = new RosterWatch(vertx, heard::add);
-            vertx.runOnContext(v -> watch.ask(new Address("127.0.0.1", service.getLocalPort()), 41));
+    void watchDecodesFragmentedMessagesAndReportsEnd() throws Exception {
+        try (ServerSocket service = new ServerSocket(0, 5, loopback)) {
+            RosterWatcher watch = new RosterWatcher(vertx, events::add);
+            vertx.runOnContext(v -> watch.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
             try (Socket call = service.accept()) {
                 byte[] request = new byte[42];
                 call.getInputStream().readNBytes(request, 0, 42);
@@ -184,10 +188,12 @@
                     out.write(bytes(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n"));
                     out.flush();
                 }
-                assertThat(((Heard.Roster) next()).message().index()).isEqualTo(42);
-                assertThat(((Heard.Roster) next()).message().whole()).isFalse();
+                assertThat(((NetworkEvent.RosterReceived) pollEvent()).message().version())
+                        .isEqualTo(42);
+                assertThat(((NetworkEvent.RosterReceived) pollEvent()).message().isComplete())
+                        .isFalse();
             }
-            assertThat(next()).isInstanceOf(Heard.RosterBroke.class);
+            assertThat(pollEvent()).isInstanceOf(NetworkEvent.RosterWatchFailed.class);
         }
     }
 }
--- a/relay/src/test/java/ambertrestle/SimHostTest.java
+++ b/relay/src/test/java/ambertrestle/simhost/SimHostTest.java
@@ -1,10 +1,9 @@
-package ambertrestle;
+package ambertrestle.simhost;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import ambertrestle.simhost.SimHost;
-import ambertrestle.simhost.WireException;
+import ambertrestle.decide.BalancerFixture;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +13,7 @@
 class SimHostTest {
     private static final String CLOCK = "5a5c800000000000";
     private static final String ROSTER = "0000000000000000 0000 01 0a124a07 8b13 0000803f 0000 0000";
-    private final Scene s = new Scene();
+    private final BalancerFixture s = new BalancerFixture();
 
     private static byte[] bytes(String hex) {
         return HexFormat.of().parseHex(hex.replace(" ", ""));
@@ -47,7 +46,7 @@
 
     private String settings() {
         StringBuilder text = new StringBuilder("strange.key=1\n");
-        s.ticket.forEach((name, value) -> text.append(name.replace("rules.", "guarantees.")
+        s.settings.forEach((name, value) -> text.append(name.replace("rules.", "guarantees.")
                         .replace("relays", "siblings")
                         .replace("limits.dispatches", "limits.mostDispatches")
                         .replaceAll("(goalTime|cutOff|window|messageAim|maxRetryAfter|drainGrace|cold|fall)$", "$1Us")
@@ -72,17 +71,17 @@
     }
 
     @Test
-    void answersTheEmptyBatchAndAnArrival() throws Exception {
+    void answersEmptyBatchAndArrival() throws Exception {
         String arrival = "01 0300 c4913a5d3a380500 0000 00000000 640ad2557c3bf091 da05a40000000000 e02e0000 "
                 + "107cf3d901648e2b 01";
         String[] records = reply(batch(""), up(settings()), batch("", arrival)).split("(?<=\\G.{16})", 2);
-        s.say("empty batch: " + records[0]);
-        s.say("start, then arrival: " + records[1].replaceAll("(.{16})", "$1 "));
-        s.matches("wire");
+        s.appendToTrace("empty batch: " + records[0]);
+        s.appendToTrace("start, then arrival: " + records[1].replaceAll("(.{16})", "$1 "));
+        s.assertTraceMatches("wire");
     }
 
     @Test
-    void startAndStopInOneBatchLeaveNothing() throws Exception {
+    void startAndStopInOneBatchProduceNoRecords() throws Exception {
         byte[] both = batch(
                 HexFormat.of().formatHex(settings().getBytes(StandardCharsets.UTF_8)),
                 "0b 0300 0100000000000000 00000000" + le(settings().length()),
@@ -91,15 +90,15 @@
     }
 
     @Test
-    void badSettingsAreNamedInACrash() throws Exception {
+    void reportsInvalidSettingsInCrashRecord() throws Exception {
         String reply = reply(up(settings().replaceAll("(drainGraceUs)=\\d+", "$1=soon")));
         assertThat(new String(bytes(reply), StandardCharsets.UTF_8)).contains("rules.drainGrace is not a number: soon");
     }
 
     @Test
-    void badInputIsNamedInOneLine() {
+    void reportsMalformedInputInOneLine() {
         assertThatThrownBy(() -> reply(bytes("0c000000 5a5c")))
-                .isInstanceOf(WireException.class)
+                .isInstanceOf(WireFormatException.class)
                 .hasMessage("frame 0 is cut short: 2 of 12 bytes");
         assertThatThrownBy(() -> reply(batch("", "01 0300")))
                 .hasMessage("batch at clock 8412250, record 0 " + "(event 1, instance 3): this instance is not up");
