--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -15,198 +15,193 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one relay. Ask {@link #selectBackend} for an association that arrived or has waited,
- * {@link #onDispatchFinished} when a dispatch ended, {@link #pollDueActions} after each batch; tell it the rest. The
- * plain values of this interface stand beside it in this package. One instance a relay, one thread, the batch's clock.
+ * Makes every placement decision of one relay. A relay has one instance and uses it from one thread. The caller passes
+ * the time, which stays the same within a batch of events. There is no I/O, and random choices follow from the seed.
+ * Times are in nanoseconds, loads in nanoseconds of work per second.
  *
- * <p>The ordinary path is docs/design.md's: own tracking table, else the Maglev table in the key's order. Mechanisms
- * beside it, as numbered there: 1. size: a backend takes turns in the Maglev table in proportion to its listed weight;
- * 2. crowding: overfull and late backends are passed over on a hit too, a group lies on its part of them; 3. moves:
- * connections leave a late backend, the heaviest first; 4. warm-up: a fresh backend counts by its age, with a hard
- * budget in the gate; 5. doubt: a backend with failures gets work by a draw from the posterior of its chance of
- * success; 6. pacing: time-outs with further dispatches, and set-ups spaced while they fail all over.
+ * <p>Ordinary path: the tracking table maps a key (the association's group, else its client) to the backend that holds
+ * its connections. On a miss, the Maglev lookup table gives an order of backends that depends only on key and roster,
+ * so that all relays agree. Mechanisms beside it: capacity weighting (slots in proportion to roster weight); load
+ * limits (slow or overloaded backends are passed over even on a hit, a group is limited to a subset of backends, and
+ * connections are moved off slow backends, the heaviest first); rebalancing during slow starts (misplaced connections
+ * move to their assigned backend); slow start (a cold backend's weight grows with its age, and a budget limits
+ * dispatches to it); outlier detection (a backend with failures gets work by its estimated chance of success); set-up
+ * pacing (dispatches time out in time for a retry, and are spaced during widespread set-up failures); drain handling
+ * (no new dispatch after half of the grace period); learned state (persisted by the caller, restored at a restart).
  */
 public final class Balancer implements BalancingPolicy {
-    private static final long MILLISECOND = 1_000_000L, SECOND = 1_000 * MILLISECOND;
-    /** Prime; turns keep it even to one slot: four times as many changed nothing at 138 backends. */
-    private static final int LOOKUP_TABLE_SIZE = 4093;
-
-    private static final int MAX_TRACKING_ENTRIES = 1 << 16;
-    /** A silent watch counts as told after 6 s, and 3.2 s are over when it is found silent. */
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1_000 * MILLISECOND;
+    private static final int LOOKUP_TABLE_SIZE = 4093; // prime, so that every skip reaches all slots
+    private static final int MAX_TRACKING_ENTRIES = 1 << 16; // beyond it the least recently used entry is evicted
+    // Changes missed by a silent watch count as received after 6 s. Finding it silent takes 3.2 s of that.
     private static final long MAX_FIRST_ROSTER_RETRY_DELAY = 2_300 * MILLISECOND;
-    /** Set-ups in a row that an unlisted backend may fail before it counts as gone. */
-    private static final int MAX_SET_UP_FAILURES_WHILE_MISSING = 2;
-    /** A relay sees one pair in as many as the square of the number of relays; of a few it misses little. */
+    private static final int MAX_FAILURES_WHILE_MISSING = 2; // failed set-ups in a row, then it counts as gone
+    // A relay sees one in relayCount^2 of the pairs of one group. Below about 16 relays it misses little.
     private static final int PAIR_VISIBILITY_SCALE = 16 * 16;
-    /** Pairs of one group that a relay takes for granted where others hold nearly all connections. */
-    private static final int UNOBSERVED_PAIRS = 4;
-    /** One in so many that are not in their own place leave in a second; about so many are looked at then. */
-    private static final int REBALANCE_ONE_IN = 8, MAX_REBALANCE_CANDIDATES = 256;
-
-    private static final long REBALANCE_AFTER_SLOW_START = 5 * SECOND;
-    private static final long TRACKING_ENTRY_LIFETIME = 60 * SECOND;
-    /** Evidence about a backend halves in this time. */
-    private static final long EVIDENCE_HALF_LIFE = 4 * SECOND;
+    private static final int UNOBSERVED_PAIRS = 4; // per group, assumed where others hold nearly all connections
+    private static final int REBALANCE_ONE_IN = 8; // one in this many misplaced connections moves per second
+    private static final int MAX_REBALANCE_CANDIDATES = 256; // connections examined per second, approximately
+    private static final long REBALANCE_AFTER_SLOW_START = 5 * SECOND; // rebalancing goes on this long after the last
+    private static final long TRACKING_ENTRY_LIFETIME = 60 * SECOND; // from the end of the last connection
+    private static final long EVIDENCE_HALF_LIFE = 4 * SECOND; // of set-up successes and failures
 
     private final SplittableRandom random;
     private final HashMap<Long, Backend> backendsById = new HashMap<>();
-    /** Listed ready or draining, by id: the members of the Maglev table. */
-    private Backend[] tableMembers = new Backend[0];
-
+    private Backend[] tableMembers = new Backend[0]; // ready and draining backends, sorted by id
     private Backend[] lookupTable = new Backend[0];
-    /** The key's order as far as it was walked: distinct backends met from the key's slot on. */
-    private Backend[] preferenceOrder = new Backend[0];
-
-    private int preferenceCount, nextTableSlot;
-    private final LinkedHashMap<Long, TrackingEntry> trackingTable = new LinkedHashMap<>(256, 0.75f, true);
-    private long nextPurgeAt;
-    private int currentMark;
-    /** Gathers what is due until it is next asked for. */
-    private DueActions pendingActions = new DueActions();
-
+    private Backend[] preferenceOrder = new Backend[0]; // distinct backends from the current key's slot on
+    private int preferenceCount; // backends in preferenceOrder
+    private int nextTableSlot; // where the walk goes on, not reduced modulo the table's size
+    private final LinkedHashMap<Long, TrackingEntry> trackingTable = new LinkedHashMap<>(256, 0.75f, true); // LRU order
+    private long nextPurgeAt; // of unused tracking entries
+    private int currentMark; // generation number of the latest pass that marks visited backends
+    private DueActions pendingActions = new DueActions(); // collected until the next poll
     private long lastLoggedAt = Long.MIN_VALUE / 2;
 
     private final UseCase[] useCases;
-    private final int maxDispatches, relayCount;
-    private final boolean allowsConcurrentDispatches,
-            usesRosterWeights,
-            isDelayReported,
-            isDelayUnobserved,
-            removalNeedsConfirmation,
-            isRosterPushed;
-    private final long drainGracePeriod, rosterCallDeadline, slowStartDuration, slowStartBudgetWindow, shedRetryAfter;
-    private final double slowStartInitialFactor, slowStartBudgetMultiple, totalConnectionQuota;
-    /** The shortest time in which a message is wanted, and the longest that a client waits. */
-    private long shortestMessageGoal = Long.MAX_VALUE / 4, longestCutOff;
-    /** The usual load of one connection, and how many notes of load that rests on. */
-    private double typicalLoad;
-
-    private int loadReportCount;
-
-    private long nextWatchAt;
-    private int rosterCallFailures;
-    private long nextRebalanceAt;
-    private int rebalanceIndex;
-    /** Connections that lived to their end here, decaying: what warm backends surely carry. */
-    private double completedConnections;
-
-    private long completedConnectionsUpdatedAt;
-    private long observedSince;
-    private double typicalSetUpTime;
-    /** The time between two set-ups while set-ups fail all over, and the next that is free. */
-    private long setUpInterval, nextSetUpAt;
-    /** Sums over the ready backends: weight and count by warmth, load, connections; pairs of one group. */
-    private double effectiveWeightSum, rosterWeightSum, effectiveBackendCount, totalLoad;
-
-    private int totalConnections, occupiedBackends, readyBackends;
-    private long sameKeyPairs, totalsUpdatedAt, slowStartsEndAt = Long.MIN_VALUE;
-    /** Backends told to be late, and those with fresh evidence; looked through instead of all. */
-    private final LinkedHashSet<Backend> slowBackends = new LinkedHashSet<>();
-
-    private final LinkedHashSet<Backend> recentlyTriedBackends = new LinkedHashSet<>();
-    /** What changed since it was last asked what to keep. */
-    private final ChangeTracker changeTracker = new ChangeTracker();
-    /** When it began with a list so old that any backend may have started since; 0 once one is heard. */
-    private long staleRosterSince;
-    /** Connections a nanosecond that lived to their end in the process before: its own take their time. */
-    private double restoredCompletionRate;
-    /** Over half of the backends tried lately fail set-ups: what they share is to blame. */
-    private boolean hasWidespreadSetUpFailures;
-
-    public Balancer(Map<String, String> jobTicket, long seed, long now) {
+    private final int maxDispatches; // per association
+    private final int relayCount; // relays of the deployment, this one included
+    private final boolean allowsConcurrentDispatches; // of one association
+    private final boolean usesRosterWeights; // else all backends weigh 1
+    private final boolean isDelayReported; // delay reports arrive
+    private final boolean isDelayUnobserved; // the wire protocol shows no message delay at all
+    private final boolean removalNeedsConfirmation; // a roster entry alone doesn't remove a ready backend
+    private final boolean isRosterPushed; // no calls are needed
+    private final long drainGracePeriod; // from when this relay learned of the drain
+    private final long rosterCallDeadline; // after it the relay counts as informed of a roster change
+    private final long slowStartDuration; // age at which a backend is warm
+    private final long slowStartBudgetWindow; // time over which unused budget accumulates
+    private final long shedRetryAfter; // sent to shed clients; 0 for none
+    private final double slowStartInitialFactor; // slow start factor at age 0
+    private final double slowStartBudgetMultiple; // budget as a multiple of the rate of completed connections
+    private final double totalConnectionQuota; // connections, summed over all tenants
+    private long shortestMessageGoal = Long.MAX_VALUE / 4; // shortest goal for the delay of a message
+    private long longestCutOff; // longest time that any client waits for an answer
+    private double typicalLoad; // moving average of the load per connection
+    private int loadReportCount; // load reports that typicalLoad rests on
+
+    private long nextWatchAt; // when to call the roster service; Long.MAX_VALUE if no call is due
+    private int rosterCallFailures; // consecutive
+    private long nextRebalanceAt; // at most one pass a second
+    private int rebalanceIndex; // member of the table at which the next rebalancing starts
+    private double completedConnections; // decaying count, an estimate of the rate that warm backends sustain
+    private long completedConnectionsUpdatedAt; // the count has decayed up to this time
+    private long observedSince; // since when completed connections are counted
+    private double typicalSetUpTime; // moving average, 0 before the first set-up
+    private long setUpInterval; // between two set-ups during widespread set-up failures, else 0
+    private long nextSetUpAt; // next time not yet reserved for a set-up
+    // Sums over the ready backends, unless stated otherwise.
+    private double effectiveWeightSum; // sum of weight times slow start factor
+    private double rosterWeightSum; // sum of the weights alone
+    private double effectiveBackendCount; // sum of the slow start factors
+    private double totalLoad; // of open connections
+    private int totalConnections; // open and pending
+    private int occupiedBackends; // backends of any stage with an open connection
+    private int readyBackends; // count, cold ones included
+    private long sameKeyPairs; // pairs of open connections with the same placement key; estimates the number of groups
+    private long totalsUpdatedAt; // when all sums were last recomputed
+    private long slowStartsEndAt = Long.MIN_VALUE; // when the last known slow start ends
+    private final LinkedHashSet<Backend> slowBackends = new LinkedHashSet<>(); // includes ones whose report has expired
+    private final LinkedHashSet<Backend> recentlyTriedBackends = new LinkedHashSet<>(); // with recent set-up evidence
+    private final ChangeTracker changeTracker = new ChangeTracker(); // changes since the last takeLearnedStateChanges
+    private long staleRosterSince; // when it started with a roster too old to show restarts; 0 once a new one came
+    private double restoredCompletionRate; // connections completed per nanosecond in the previous process
+    private boolean hasWidespreadSetUpFailures; // over half of the recently tried backends: a shared cause is assumed
+
+    public Balancer(Map<String, String> settings, long seed, long now) {
         random = new SplittableRandom(seed);
-        useCases = new UseCase[(int) Settings.getDouble(jobTicket, "useCases.count")];
-        for (int u = 0; u < useCases.length; u++) {
-            useCases[u] = UseCase.fromSettings(jobTicket, "useCases." + u + ".");
-            longestCutOff = Math.max(longestCutOff, useCases[u].cutOff());
-        }
-        maxDispatches = (int) Settings.getDouble(jobTicket, "limits.dispatches");
-        allowsConcurrentDispatches = Boolean.parseBoolean(jobTicket.get("limits.secondCopies"));
-        isDelayReported = "true".equals(jobTicket.get("familyInfo.tellsDelay"));
-        // Where the relay's wire shows no delay; that a backend breaks connections then stands for it.
-        isDelayUnobserved = "unseen".equals(jobTicket.get("familyInfo.tellsDelay"));
-        drainGracePeriod = (long) Settings.getDouble(jobTicket, "rules.drainGrace");
-        removalNeedsConfirmation = Settings.getBoolean(jobTicket, "rules.onlyDrainingBinds");
-        slowStartInitialFactor = Settings.getDouble(jobTicket, "rules.coldFrom");
-        slowStartDuration = (long) Settings.getDouble(jobTicket, "rules.cold");
-        slowStartBudgetMultiple = Settings.getDouble(jobTicket, "rules.fallMultiple");
-        slowStartBudgetWindow = (long) Settings.getDouble(jobTicket, "rules.fall");
+        useCases = new UseCase[(int) Settings.getDouble(settings, "useCases.count")];
+        for (int i = 0; i < useCases.length; i++) {
+            useCases[i] = UseCase.fromSettings(settings, "useCases." + i + ".");
+            longestCutOff = Math.max(longestCutOff, useCases[i].cutOff());
+        }
+        maxDispatches = (int) Settings.getDouble(settings, "limits.dispatches");
+        allowsConcurrentDispatches = Boolean.parseBoolean(settings.get("limits.secondCopies"));
+        isDelayReported = "true".equals(settings.get("familyInfo.tellsDelay"));
+        // The wire protocol shows no delay. Repeated resets by a backend are then taken as a sign of overload.
+        isDelayUnobserved = "unseen".equals(settings.get("familyInfo.tellsDelay"));
+        drainGracePeriod = (long) Settings.getDouble(settings, "rules.drainGrace");
+        removalNeedsConfirmation = Settings.getBoolean(settings, "rules.onlyDrainingBinds");
+        slowStartInitialFactor = Settings.getDouble(settings, "rules.coldFrom");
+        slowStartDuration = (long) Settings.getDouble(settings, "rules.cold");
+        slowStartBudgetMultiple = Settings.getDouble(settings, "rules.fallMultiple");
+        slowStartBudgetWindow = (long) Settings.getDouble(settings, "rules.fall");
         usesRosterWeights = List.of("nominal", "rough")
-                .contains(Settings.getString(jobTicket, "weights", "nominal", "rough", "none", "live"));
-        isRosterPushed = Settings.getString(jobTicket, "discovery", "pushed", "on_request")
+                .contains(Settings.getString(settings, "weights", "nominal", "rough", "none", "live"));
+        isRosterPushed = Settings.getString(settings, "discovery", "pushed", "on_request")
                 .equals("pushed");
-        rosterCallDeadline = (long) Settings.getDoubleOrDefault(jobTicket, "rules.askWithin", 16.0 * SECOND);
-        boolean tells = Boolean.parseBoolean(jobTicket.get("limits.retryAfter"));
-        shedRetryAfter = tells ? (long) Settings.getDouble(jobTicket, "limits.maxRetryAfter") : 0;
-        for (double goal : Settings.getDoubles(jobTicket, "familyInfo.messageAim")) {
+        rosterCallDeadline = (long) Settings.getDoubleOrDefault(settings, "rules.askWithin", 16.0 * SECOND);
+        boolean sendsRetryAfter = Boolean.parseBoolean(settings.get("limits.retryAfter"));
+        shedRetryAfter = sendsRetryAfter ? (long) Settings.getDouble(settings, "limits.maxRetryAfter") : 0;
+        for (double goal : Settings.getDoubles(settings, "familyInfo.messageAim")) {
             shortestMessageGoal = Math.min(shortestMessageGoal, (long) goal);
         }
-        totalConnectionQuota = Arrays.stream(Settings.getDoubles(jobTicket, "familyInfo.tenantQuotaConnections"))
+        totalConnectionQuota = Arrays.stream(Settings.getDoubles(settings, "familyInfo.tenantQuotaConnections"))
                 .sum();
-        relayCount = (int) Settings.getDouble(jobTicket, "relays");
+        relayCount = (int) Settings.getDouble(settings, "relays");
         observedSince = now;
         completedConnectionsUpdatedAt = now;
         nextPurgeAt = now + TRACKING_ENTRY_LIFETIME;
-        // Danger: relays that start together ask together, and the service fails calls that waited too long.
+        // Without this jitter, relays that start together would call together, and calls that queue too long fail.
         nextWatchAt = isRosterPushed
                 ? Long.MAX_VALUE
                 : now + new SplittableRandom(seed + 1).nextLong(rosterCallDelayRange(0));
     }
 
-    // ---- the three questions
-
-    /** Where to send this association, which has arrived or has waited as told. */
+    // ---- decisions
     @Override
-    public Decision selectBackend(Association a, long now) {
-        if (a.closed || a.hasDispatchInFlight()) {
+    public Decision selectBackend(Association association, long now) {
+        if (association.closed || association.hasDispatchInFlight()) {
             return Decision.NOTHING;
         }
-        // Danger: what can never be sent again would sit out its time; it is given up at once.
-        if (now >= a.cutOffAt
-                || a.dispatchCount - a.uncountedDispatches >= maxDispatches
-                || !isSafeToRepeat(a, null, now)) {
-            return shedOrForfeit(a);
+        // Answers now if no dispatch is possible any more. Otherwise the client would wait until its cut-off.
+        if (now >= association.cutOffAt
+                || association.dispatchCount - association.uncountedDispatches >= maxDispatches
+                || !isSafeToRepeat(association, null, now)) {
+            return shedOrForfeit(association);
         }
-        if (setUpInterval > 0 && now < nextSetUpAt && a.reservedSetUpAt == 0 && !a.isMidFlow) {
-            if (nextSetUpAt >= a.cutOffAt - useCases[a.useCase].cutOff() / 4) {
-                return shedOrForfeit(a);
+        // Set-up pacing: waits for the next free set-up time, unless too little time would be left then.
+        if (setUpInterval > 0 && now < nextSetUpAt && association.reservedSetUpAt == 0 && !association.isMidFlow) {
+            if (nextSetUpAt >= association.cutOffAt - useCases[association.useCase].cutOff() / 4) {
+                return shedOrForfeit(association);
             }
-            a.reservedSetUpAt = nextSetUpAt;
+            association.reservedSetUpAt = nextSetUpAt;
             nextSetUpAt += setUpInterval;
-            return new Decision(Kind.WAIT, 0, a.reservedSetUpAt);
+            return new Decision(Kind.WAIT, 0, association.reservedSetUpAt);
         }
-        a.reservedSetUpAt = 0;
+        association.reservedSetUpAt = 0;
         nextSetUpAt = Math.max(nextSetUpAt, now + setUpInterval);
-        Backend b = findEligibleBackend(a, now);
-        return b != null ? dispatchTo(a, b, now) : waitOrGiveUp(a, now);
+        Backend backend = findEligibleBackend(association, now);
+        return backend != null ? dispatchTo(association, backend, now) : waitOrGiveUp(association, now);
     }
 
-    /** What to do after this outcome of a dispatch; `finished`: the association is over. */
     @Override
     public Decision onDispatchFinished(
-            Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
-        if (dispatch < 0 || dispatch >= a.dispatchCount || a.dispatchStates[dispatch] != DispatchState.IN_FLIGHT) {
+            Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+        if (dispatch < 0
+                || dispatch >= association.dispatchCount
+                || association.dispatchStates[dispatch] != DispatchState.IN_FLIGHT) {
             return Decision.NOTHING;
         }
-        Backend b = backendsById.get(a.sentTo[dispatch]);
-        a.dispatchStates[dispatch] = outcome.neverRan ? DispatchState.NEVER_RAN : DispatchState.MAY_HAVE_RUN;
-        removeConnection(a, b, now);
-        recordOutcome(b, outcome, a.established, now);
-        changeTracker.markChanged(b);
-        // Danger: an old list names backends that are gone; finding that out must not use up all dispatches.
-        a.uncountedDispatches += staleRosterSince > 0 && outcome == DispatchOutcome.NOT_CONNECTED ? 1 : 0;
-        // Danger: where all set-ups turn slow, a short time-out sends each of them several times over.
+        Backend backend = backendsById.get(association.sentTo[dispatch]);
+        association.dispatchStates[dispatch] = outcome.neverRan ? DispatchState.NEVER_RAN : DispatchState.MAY_HAVE_RUN;
+        removeConnection(association, backend, now);
+        recordOutcome(backend, outcome, association.established, now);
+        changeTracker.markChanged(backend);
+        // An old roster lists backends that are gone. Attempts at those must not use up the dispatch limit.
+        association.uncountedDispatches += staleRosterSince > 0 && outcome == DispatchOutcome.NOT_CONNECTED ? 1 : 0;
+        // If all set-ups become slow and the timeout stays short, each association is dispatched several times.
         typicalSetUpTime = outcome == DispatchOutcome.TIMED_OUT
-                ? Math.max(typicalSetUpTime, (now - a.sentAt[dispatch]) / 2.0)
+                ? Math.max(typicalSetUpTime, (now - association.sentAt[dispatch]) / 2.0)
                 : typicalSetUpTime;
-        if (finished || a.closed) {
-            a.closed = true;
+        if (finished || association.closed) {
+            association.closed = true;
             return Decision.NOTHING;
         }
-        return selectBackend(a, now);
+        return selectBackend(association, now);
     }
 
-    /** How long to wait before asking again, and the chores now due. */
     @Override
     public DueActions pollDueActions(long now) {
         DueActions due = pendingActions;
@@ -218,9 +213,9 @@
         if (now >= nextPurgeAt) {
             trackingTable
                     .values()
-                    .removeIf(e -> e.openConnections.isEmpty()
-                            && now - e.unusedSince >= TRACKING_ENTRY_LIFETIME
-                            && changeTracker.markRemoved(e));
+                    .removeIf(entry -> entry.openConnections.isEmpty()
+                            && now - entry.unusedSince >= TRACKING_ENTRY_LIFETIME
+                            && changeTracker.markRemoved(entry));
             nextPurgeAt = now + TRACKING_ENTRY_LIFETIME / 4;
         }
         due.wakeAt = Math.min(nextPurgeAt, nextWatchAt);
@@ -233,23 +228,21 @@
         return due;
     }
 
-    // ---- what it is told
-
-    /** The roster, whole or changes only; `cached`: as this relay last had it, perhaps stale. */
+    // ---- events
     @Override
-    public void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now) {
+    public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
         rosterCallFailures = 0;
         currentMark++;
         staleRosterSince = cached ? staleRosterSince : 0;
         boolean changed = false;
-        for (RosterEntry line : lines) {
-            Backend b = backendsById.computeIfAbsent(line.backend(), Backend::new);
-            b.walkMark = currentMark;
-            changed |= applyRosterEntry(b, line, now);
+        for (RosterEntry entry : entries) {
+            Backend backend = backendsById.computeIfAbsent(entry.backend(), Backend::new);
+            backend.visitMark = currentMark;
+            changed |= applyRosterEntry(backend, entry, now);
         }
-        if (whole) {
+        if (complete) {
             for (Backend b : tableMembers) {
-                if (b.walkMark != currentMark) {
+                if (b.visitMark != currentMark) {
                     changed |=
                             applyRosterEntry(b, new RosterEntry(b.id, Stage.GONE, 0, b.cell, b.weight, b.zone, 0), now);
                 }
@@ -272,78 +265,77 @@
     @Override
     public void onRosterCallFailed(long now) {
         logRateLimited("roster call failed, asking again", now);
-        // Danger: relays that ask again in step keep the roster service full and all of them fail again.
+        // Backoff with jitter. Relays that retry in step would overload the service, and all would fail again.
         long base = rosterCallDelayRange(Math.min(rosterCallFailures, 4));
-        // Danger: what a watch fallen silent misses counts as told while the relay still waits its turn.
+        // The first retry comes early, because changes that a silent watch misses count as received meanwhile.
         nextWatchAt = now
                 + (rosterCallFailures++ == 0
                         ? random.nextLong(Math.min(base, MAX_FIRST_ROSTER_RETRY_DELAY))
                         : base / 2 + random.nextLong(base));
     }
 
-    /** Calls of all relays spread over this, half at most of the time after which silence counts as told. */
-    private long rosterCallDelayRange(int doubled) {
-        // Danger: where lists are pushed, all that the agent has counts as told whether or not it is watched.
-        long most = Math.min(isRosterPushed ? SECOND / 4 : 8 * SECOND, rosterCallDeadline / 2);
-        return Math.max(1, Math.min(most, relayCount * 50 * MILLISECOND << doubled));
+    /** Range to spread all relays' calls over: 50 ms each, doubled {@code doublings} times, up to half the deadline. */
+    private long rosterCallDelayRange(int doublings) {
+        // A pushed roster counts as received once the local agent has it, even while no watch is open.
+        long limit = Math.min(isRosterPushed ? SECOND / 4 : 8 * SECOND, rosterCallDeadline / 2);
+        return Math.max(1, Math.min(limit, relayCount * 50 * MILLISECOND << doublings));
     }
 
-    /** An open connection that was passing through when this relay started. */
     @Override
-    public void onConnectionAdopted(Association a, long backend, long now) {
-        a.recordDispatch(backend, now);
-        Backend b = backendsById.computeIfAbsent(backend, Backend::new);
-        b.pendingDispatches++;
-        addToTotals(b, 1, 0);
-        addConnection(a, b);
+    public void onConnectionAdopted(Association association, long backendId, long now) {
+        association.recordDispatch(backendId, now);
+        Backend backend = backendsById.computeIfAbsent(backendId, Backend::new);
+        backend.pendingDispatches++;
+        addToTotals(backend, 1, 0);
+        addConnection(association, backend);
     }
 
-    /** What it would keep beyond this process: at most so many values, those changed since last asked. */
     @Override
-    public LearnedState takeLearnedStateChanges(int most, long now) {
-        LearnedState.RelayStatistics whole = new LearnedState.RelayStatistics(
+    public LearnedState takeLearnedStateChanges(int maxEntries, long now) {
+        LearnedState.RelayStatistics relayStatistics = new LearnedState.RelayStatistics(
                 decayCompletedConnections(now),
                 Math.min(now - observedSince, 10 * SECOND),
                 typicalSetUpTime,
                 typicalLoad,
                 loadReportCount,
                 setUpInterval);
-        return changeTracker.takeChanges(most, tableFormat(), whole, backendsById.values(), trackingTable.values());
+        return changeTracker.takeChanges(
+                maxEntries, tableFormat(), relayStatistics, backendsById.values(), trackingTable.values());
     }
 
-    /** What an earlier process kept, weighed by its age; `unseen`: ages in the list mean nothing. */
     @Override
-    public void restoreLearnedState(LearnedState kept, boolean unseen, long now) {
-        completedConnections = kept.relayStatistics().completedConnections();
+    public void restoreLearnedState(LearnedState state, boolean startTimesUnknown, long now) {
+        completedConnections = state.relayStatistics().completedConnections();
         completedConnectionsUpdatedAt = now;
-        observedSince = Math.min(observedSince, now - kept.relayStatistics().observedFor());
-        restoredCompletionRate = completedConnections / (kept.relayStatistics().observedFor() + SECOND);
-        typicalSetUpTime = kept.relayStatistics().typicalSetUpTime();
-        typicalLoad = kept.relayStatistics().typicalLoad();
-        loadReportCount = kept.relayStatistics().loadReportCount();
-        setUpInterval = Math.min(kept.relayStatistics().setUpInterval(), relayCount * SECOND / 8);
+        observedSince = Math.min(observedSince, now - state.relayStatistics().observedFor());
+        restoredCompletionRate = completedConnections / (state.relayStatistics().observedFor() + SECOND);
+        typicalSetUpTime = state.relayStatistics().typicalSetUpTime();
+        typicalLoad = state.relayStatistics().typicalLoad();
+        loadReportCount = state.relayStatistics().loadReportCount();
+        setUpInterval = Math.min(state.relayStatistics().setUpInterval(), relayCount * SECOND / 8);
         nextSetUpAt = setUpInterval > 0 ? now + random.nextLong(setUpInterval) : 0;
-        for (LearnedState.BackendStatistics j : kept.backends()) {
-            Backend b = backendsById.get(j.backend());
-            if (b != null && b.restore(j)) {
-                slowBackends.add(b);
-                recentlyTriedBackends.add(b);
+        for (LearnedState.BackendStatistics statistics : state.backends()) {
+            Backend backend = backendsById.get(statistics.backend());
+            if (backend != null && backend.restore(statistics)) {
+                slowBackends.add(backend);
+                recentlyTriedBackends.add(backend);
             }
         }
         hasWidespreadSetUpFailures = detectWidespreadSetUpFailures(now);
-        for (LearnedState.Pin p : kept.pins()) {
-            Backend b = backendsById.get(p.backend());
-            // Danger: a pin to what is no longer listed would be followed the moment that id is listed again.
-            boolean listed = b != null && b.stage != Stage.GONE;
-            if (listed && kept.tableFormat() == tableFormat() && trackingTable.size() < MAX_TRACKING_ENTRIES) {
-                TrackingEntry entry = trackingTable.computeIfAbsent(p.key(), TrackingEntry::new);
-                entry.pinnedBackend = b;
-                entry.unusedSince = p.unusedSince();
+        for (LearnedState.Pin pin : state.pins()) {
+            Backend backend = backendsById.get(pin.backend());
+            // A pin to a backend that is no longer listed would take effect as soon as its id is listed again.
+            boolean listed = backend != null && backend.stage != Stage.GONE;
+            if (listed && state.tableFormat() == tableFormat() && trackingTable.size() < MAX_TRACKING_ENTRIES) {
+                TrackingEntry entry = trackingTable.computeIfAbsent(pin.key(), TrackingEntry::new);
+                entry.pinnedBackend = backend;
+                entry.unusedSince = pin.unusedSince();
             }
         }
-        staleRosterSince = unseen ? now : 0;
-        slowStartsEndAt =
-                unseen ? Math.max(slowStartsEndAt, now + slowStartDuration + slowStartDuration / 64) : slowStartsEndAt;
+        staleRosterSince = startTimesUnknown ? now : 0;
+        slowStartsEndAt = startTimesUnknown
+                ? Math.max(slowStartsEndAt, now + slowStartDuration + slowStartDuration / 64)
+                : slowStartsEndAt;
         recomputeTotals(now);
     }
 
@@ -352,80 +344,83 @@
     }
 
     @Override
-    public void onConnectionEstablished(Association a, int dispatch, long took, long now) {
-        if (dispatch >= a.dispatchCount || a.established) {
+    public void onConnectionEstablished(Association association, int dispatch, long setUpTime, long now) {
+        if (dispatch >= association.dispatchCount || association.established) {
             return;
         }
-        Backend b = backendsById.get(a.sentTo[dispatch]).decayEvidence(now, EVIDENCE_HALF_LIFE);
-        b.successes++;
-        b.setUpFailuresWhileMissing = 0;
-        changeTracker.markChanged(b);
-        recentlyTriedBackends.add(b);
+        Backend backend = backendsById.get(association.sentTo[dispatch]).decayEvidence(now, EVIDENCE_HALF_LIFE);
+        backend.successes++;
+        backend.setUpFailuresWhileMissing = 0;
+        changeTracker.markChanged(backend);
+        recentlyTriedBackends.add(backend);
         hasWidespreadSetUpFailures = hasWidespreadSetUpFailures && detectWidespreadSetUpFailures(now);
         setUpInterval = setUpInterval < relayCount * 12 * MILLISECOND ? 0 : setUpInterval / 2;
-        typicalSetUpTime += (took - typicalSetUpTime) / 8;
-        addConnection(a, b);
+        typicalSetUpTime += (setUpTime - typicalSetUpTime) / 8;
+        addConnection(association, backend);
     }
 
     @Override
-    public void onLoadReport(Association a, double load, long now) {
-        double grown = load - a.load;
-        a.load = load;
-        if (a.openConnectionIndex >= 0) {
-            Backend b = backendsById.get(a.sentTo[a.dispatchCount - 1]);
-            addToTotals(b, 0, grown);
+    public void onLoadReport(Association association, double load, long now) {
+        double increase = load - association.load;
+        association.load = load;
+        if (association.openConnectionIndex >= 0) {
+            Backend backend = backendsById.get(association.sentTo[association.dispatchCount - 1]);
+            addToTotals(backend, 0, increase);
             typicalLoad += (meanConnectionLoad() - typicalLoad) / Math.min(64, ++loadReportCount);
-            if (grown > 0 && now - b.lastOffloadAt > SECOND && isOverloaded(b, now)) {
-                b.lastOffloadAt = now;
-                requestMoves(b, Math.max(1, b.openConnections.size() / 6), now);
+            if (increase > 0 && now - backend.lastOffloadAt > SECOND && isOverloaded(backend, now)) {
+                backend.lastOffloadAt = now;
+                requestMoves(backend, Math.max(1, backend.openConnections.size() / 6), now);
             }
         }
     }
 
     /**
-     * Danger: unseen, what grows on a backend makes all there late. Too much is where its load and what others likely
-     * hold there pass half of its part of the tenants' quota, with room elsewhere.
+     * True if the estimated load exceeds half of the backend's share of the tenants' quota and the fleet has room. Each
+     * other relay is assumed to hold the mean of this relay's load there and the proportional share. With delay
+     * unobserved, growing load would otherwise slow all connections of the backend unnoticed.
      */
-    private boolean isOverloaded(Backend b, long now) {
-        double size = b.weight * slowStartFactor(b, now) / Math.max(rosterWeightSum, 1e-9),
-                room = 0.5 * totalConnectionQuota * typicalLoad;
+    private boolean isOverloaded(Backend backend, long now) {
+        double share = backend.weight * slowStartFactor(backend, now) / Math.max(rosterWeightSum, 1e-9),
+                quota = 0.5 * totalConnectionQuota * typicalLoad;
         return isDelayUnobserved
                 && loadReportCount > 32
-                && totalLoad * relayCount < 0.7 * room
-                && b.load * (relayCount + 1) / 2 + totalLoad * size * (relayCount - 1) / 2 > room * size;
+                && totalLoad * relayCount < 0.7 * quota
+                && backend.load * (relayCount + 1) / 2 + totalLoad * share * (relayCount - 1) / 2 > quota * share;
     }
 
     @Override
-    public void onDelayReport(long backend, long delay, long now) {
-        Backend b = backendsById.computeIfAbsent(backend, Backend::new);
-        boolean rising = delay >= b.reportedDelay || now - b.delayReportedAt > 3 * SECOND;
+    public void onDelayReport(long backendId, long delay, long now) {
+        Backend backend = backendsById.computeIfAbsent(backendId, Backend::new);
+        boolean rising = delay >= backend.reportedDelay || now - backend.delayReportedAt > 3 * SECOND;
         if (delay * 3 > shortestMessageGoal) {
-            double crowd = b.effectiveLoad(meanConnectionLoad());
-            b.observedCapacity = !isSlow(b, now) && b.observedCapacity > 0
-                    ? (b.observedCapacity + crowd) / 2
-                    : b.observedCapacity == 0 ? crowd : Math.min(b.observedCapacity, crowd);
-            b.lastSlowAt = now;
-            slowBackends.add(b);
-        }
-        b.reportedDelay = delay * 3 > shortestMessageGoal ? delay : 0;
-        b.delayReportedAt = now;
-        changeTracker.markChanged(b);
+            double currentLoad = backend.effectiveLoad(meanConnectionLoad());
+            backend.observedCapacity = !isSlow(backend, now) && backend.observedCapacity > 0
+                    ? (backend.observedCapacity + currentLoad) / 2
+                    : backend.observedCapacity == 0 ? currentLoad : Math.min(backend.observedCapacity, currentLoad);
+            backend.lastSlowAt = now;
+            slowBackends.add(backend);
+        }
+        backend.reportedDelay = delay * 3 > shortestMessageGoal ? delay : 0;
+        backend.delayReportedAt = now;
+        changeTracker.markChanged(backend);
         if (rising && delay > shortestMessageGoal) {
-            // Danger: a hung backend keeps its connections; with more piled up than anyone waits, all leave.
-            boolean hangs = delay > (isDelayUnobserved ? SECOND : longestCutOff);
+            // A hung backend keeps its connections open. If the delay exceeds what any client waits, all must move.
+            boolean isHung = delay > (isDelayUnobserved ? SECOND : longestCutOff);
             requestMoves(
-                    b,
-                    hangs ? b.openConnections.size() : (int) (b.openConnections.size() / 6.0 + random.nextDouble()),
+                    backend,
+                    isHung
+                            ? backend.openConnections.size()
+                            : (int) (backend.openConnections.size() / 6.0 + random.nextDouble()),
                     now);
         }
     }
 
-    /** Danger: what piles up on an overloaded backend makes every connection there late; some must leave. */
-    private void requestMoves(Backend b, int some, long now) {
-        b.openConnections.stream()
+    /** Asks the {@code count} heaviest connections to move. Overload makes all connections of a backend slow. */
+    private void requestMoves(Backend backend, int count, long now) {
+        backend.openConnections.stream()
                 .filter(a -> !a.moveRequested)
                 .sorted(Comparator.comparing(a -> -a.load))
-                .limit(some)
+                .limit(count)
                 .forEach(a -> {
                     a.moveRequested = true;
                     pendingActions.connectionsToMove.add(a);
@@ -434,100 +429,100 @@
     }
 
     @Override
-    public void onClientDisconnected(Association a, long now) {
-        a.closed = true;
-        if (a.hasDispatchInFlight()) {
-            removeConnection(a, backendsById.get(a.sentTo[a.dispatchCount - 1]), now);
+    public void onClientDisconnected(Association association, long now) {
+        association.closed = true;
+        if (association.hasDispatchInFlight()) {
+            removeConnection(association, backendsById.get(association.sentTo[association.dispatchCount - 1]), now);
         }
     }
 
-    // ---- the ordinary path
-
-    private Backend findEligibleBackend(Association a, long now) {
+    /** Returns the pinned backend or the first eligible one in the key's order; null if there is none. */
+    private Backend findEligibleBackend(Association association, long now) {
         if (now < slowStartsEndAt && now - totalsUpdatedAt > slowStartDuration / 256) {
             recomputeTotals(now);
         }
-        // Danger: fresh backends that carry nothing yet must not look like room in a fleet that grows.
+        // The slow share is taken of occupied or slow backends, plus two: new backends in a growing fleet aren't spare
+        // capacity yet, and in a large fleet most backends send this relay no reports, which doesn't make them fast.
         slowBackends.removeIf(b -> b.stage == Stage.GONE || !isSlow(b, now));
-        // Danger: in a large fleet most backends tell this relay nothing; they do not pass for in time.
-        long untold =
+        long unobservedSlow =
                 slowBackends.stream().filter(b -> b.openConnections.isEmpty()).count();
-        double lateShare =
-                slowBackends.size() / Math.max(Math.min(effectiveBackendCount, occupiedBackends + untold + 2), 1);
-        TrackingEntry entry = trackingTable.get(a.placementKey());
-        // Danger: every backend that holds any of a group pays for it; one strewn over all sinks them all.
-        double part = a.groupKey == 0 ? tableMembers.length : subsetSize(entry, lateShare);
-        int depth = lateShare * 3 > 1 ? 1 + (int) part : 2 + (int) Math.round(part);
-        int holding = 0;
-        int holds = ++currentMark;
+        double slowShare = slowBackends.size()
+                / Math.max(Math.min(effectiveBackendCount, occupiedBackends + unobservedSlow + 2), 1);
+        TrackingEntry entry = trackingTable.get(association.placementKey());
+        // A group costs each backend that holds any of it. Spread over all backends, it would overload them all.
+        double subsetSize = association.groupKey == 0 ? tableMembers.length : subsetSize(entry, slowShare);
+        int maxSpread = slowShare * 3 > 1 ? 1 + (int) subsetSize : 2 + (int) Math.round(subsetSize);
+        int holderCount = 0;
+        int holderMark = ++currentMark;
         for (Association other : entry == null ? List.<Association>of() : entry.openConnections) {
-            Backend b = backendsById.get(other.sentTo[other.dispatchCount - 1]);
-            holding += b.holdsKeyMark != holds && b.stage != Stage.GONE ? 1 : 0;
-            b.holdsKeyMark = holds;
-        }
-        startPreferenceOrder(a);
-        int parts = a.groupKey == 0 || !isSampleTooSmall() ? 1 : assignSubsetIndex(a, part, now);
-        TrackingEntry pin = trackingTable.get(a.pinKey());
-        Backend known = a.placementKey() == 0 || pin == null ? null : pin.pinnedBackend;
-        // Danger: an open connection sent elsewhere is reset, so a mid-flow hit is not passed over.
-        boolean open = a.isMidFlow && a.dispatchCount == 0;
-        if (known != null
-                && known.stage == Stage.READY
-                && !a.hasTried(known.id)
-                && mayDispatch(known, a, true, now)
-                && (open || passesOutlierDetection(known, now) && !isOverCapacity(known, lateShare, now))) {
-            return known;
-        }
-        Backend spare = null;
-        boolean far = lateShare * 4 <= 1
+            Backend backend = backendsById.get(other.sentTo[other.dispatchCount - 1]);
+            holderCount += backend.holdsKeyMark != holderMark && backend.stage != Stage.GONE ? 1 : 0;
+            backend.holdsKeyMark = holderMark;
+        }
+        startPreferenceOrder(association);
+        int subsetCount =
+                association.groupKey == 0 || !isSampleTooSmall() ? 1 : assignSubsetIndex(association, subsetSize, now);
+        TrackingEntry pin = trackingTable.get(association.pinKey());
+        Backend pinned = association.placementKey() == 0 || pin == null ? null : pin.pinnedBackend;
+        // An open connection is reset if it is sent elsewhere, so a mid-flow hit is not subject to load limits.
+        boolean alreadyOpen = association.isMidFlow && association.dispatchCount == 0;
+        if (pinned != null
+                && pinned.stage == Stage.READY
+                && !association.hasTried(pinned.id)
+                && mayDispatch(pinned, association, true, now)
+                && (alreadyOpen || passesOutlierDetection(pinned, now) && !isOverCapacity(pinned, slowShare, now))) {
+            return pinned;
+        }
+        Backend fallback = null;
+        boolean searchAll = slowShare * 4 <= 1
                 || totalConnections > 3 * effectiveBackendCount
                 || totalConnections * 4 > relayCount * effectiveBackendCount;
-        for (int i = 0, ready = 0; i < tableMembers.length && (far || ready <= depth); i++) {
-            Backend b = preferredBackend(i < parts ? (a.subsetIndex + i) % parts : i);
-            boolean first = open && i == 0;
-            ready += b != null && b.stage == Stage.READY ? 1 : 0;
-            // Danger: work sent to a fleet that is late all over keeps it late; it waits or is shed.
-            if (b == null
-                    || !first
-                            && (b.stage != Stage.READY
-                                    || a.hasTried(b.id)
-                                    || isSlow(b, now) && b.reportedDelay > shortestMessageGoal
-                                    || now < b.overCapacityUntil
-                                    || b.effectiveLoad(meanConnectionLoad()) >= loadLimit(b, now)
-                                    || holding >= depth && b.holdsKeyMark != holds
-                                    || lateShare * 4 > 1 && ready > depth && !isIdle(b, now)
-                                    || !passesOutlierDetection(b, now))
-                    || !mayDispatch(b, a, i == 0, now)) {
+        for (int i = 0, readySeen = 0; i < tableMembers.length && (searchAll || readySeen <= maxSpread); i++) {
+            Backend backend = preferredBackend(i < subsetCount ? (association.subsetIndex + i) % subsetCount : i);
+            boolean likelyHolder = alreadyOpen && i == 0;
+            readySeen += backend != null && backend.stage == Stage.READY ? 1 : 0;
+            // More work would keep an entirely slow fleet slow, so then the association waits or is shed.
+            if (backend == null
+                    || !likelyHolder
+                            && (backend.stage != Stage.READY
+                                    || association.hasTried(backend.id)
+                                    || isSlow(backend, now) && backend.reportedDelay > shortestMessageGoal
+                                    || now < backend.overCapacityUntil
+                                    || backend.effectiveLoad(meanConnectionLoad()) >= loadLimit(backend, now)
+                                    || holderCount >= maxSpread && backend.holdsKeyMark != holderMark
+                                    || slowShare * 4 > 1 && readySeen > maxSpread && !isIdle(backend, now)
+                                    || !passesOutlierDetection(backend, now))
+                    || !mayDispatch(backend, association, i == 0, now)) {
                 continue;
             }
-            if (first || !isOverCapacity(b, lateShare, now)) {
-                return b;
+            if (likelyHolder || !isOverCapacity(backend, slowShare, now)) {
+                return backend;
             }
-            spare = spare == null ? b : spare;
+            fallback = fallback == null ? backend : fallback;
         }
-        return spare;
+        return fallback;
     }
 
-    /** It holds so few a backend that twice its part cannot show that a group crowds one. */
+    /** True if this relay has too few connections per backend to see from them that a group overloads one. */
     private boolean isSampleTooSmall() {
         return totalConnections * 2 <= relayCount * effectiveBackendCount;
     }
 
-    /** Backends that the group would fill; if blind, one more is seen a group, which pairs of one count. */
-    private double subsetSize(TrackingEntry entry, double lateShare) {
-        int seen = entry == null ? 0 : entry.openConnections.size();
-        // Danger: one of hundreds of relays holds a few, has seen no pair, and would take each group for a
-        // small one; all would pile it on one backend. What it cannot see counts as some pairs, unless
-        // many are late or nothing tells that they are: each further backend that holds a group costs.
-        double apart = isDelayUnobserved || lateShare * 3 > 1 ? 0 : unobservedShare();
-        double all = totalConnections * (totalConnections + 1.0) / 2 + effectiveBackendCount * (0.25 + apart);
-        double groups = all / (sameKeyPairs + 0.25 + UNOBSERVED_PAIRS * apart);
+    /** Number of backends, not rounded, that the group fills. A small sample assumes one more connection per group. */
+    private double subsetSize(TrackingEntry entry, double slowShare) {
+        int observed = entry == null ? 0 : entry.openConnections.size();
+        // One of hundreds of relays holds few connections and may see no pair. It would take every group for a small
+        // one, and all relays would put it on one backend. Some unseen pairs are therefore assumed, except while many
+        // backends are slow or delay is unobserved, because each further backend that holds a group adds cost.
+        double unobserved = isDelayUnobserved || slowShare * 3 > 1 ? 0 : unobservedShare();
+        double pairs = totalConnections * (totalConnections + 1.0) / 2 + effectiveBackendCount * (0.25 + unobserved);
+        double groupCount = pairs / (sameKeyPairs + 0.25 + UNOBSERVED_PAIRS * unobserved);
         return isSampleTooSmall()
-                ? effectiveBackendCount * (1 + seen) / (totalConnections + groups)
-                : effectiveBackendCount * seen / totalConnections;
+                ? effectiveBackendCount * (1 + observed) / (totalConnections + groupCount)
+                : effectiveBackendCount * observed / totalConnections;
     }
 
-    /** How little of each other relays see: next to nothing where they are few, next to one at a hundred. */
+    /** Returns the share of same-group pairs that a relay can't see: near 0 with few relays, near 1 with a hundred. */
     private double unobservedShare() {
         return (double) relayCount * relayCount / (relayCount * relayCount + PAIR_VISIBILITY_SCALE);
     }
@@ -539,69 +534,71 @@
         currentMark++;
     }
 
-    private Backend preferredBackend(int i) {
+    private Backend preferredBackend(int rank) {
         for (int end = nextTableSlot + LOOKUP_TABLE_SIZE;
-                preferenceCount <= i && nextTableSlot < end && lookupTable.length > 0;
+                preferenceCount <= rank && nextTableSlot < end && lookupTable.length > 0;
                 nextTableSlot++) {
-            Backend b = lookupTable[nextTableSlot % LOOKUP_TABLE_SIZE];
-            if (b.walkMark != currentMark) {
-                b.walkMark = currentMark;
-                preferenceOrder[preferenceCount++] = b;
+            Backend backend = lookupTable[nextTableSlot % LOOKUP_TABLE_SIZE];
+            if (backend.visitMark != currentMark) {
+                backend.visitMark = currentMark;
+                preferenceOrder[preferenceCount++] = backend;
             }
         }
-        return i < preferenceCount ? preferenceOrder[i] : null;
+        return rank < preferenceCount ? preferenceOrder[rank] : null;
     }
 
     /**
-     * Its group lies on the first in its order whose weights make up the group's part; the client's among them is drawn
-     * by weight, alike at every relay, but anew for one that comes back from where it was late; where no delay is seen
-     * nobody knows that it was, and it goes to its own place.
+     * Sets the client's index in its group's subset and returns the subset's size. The subset is the start of the key's
+     * order, up to the group's capacity. Weighted rendezvous hashing picks the client's backend, alike at all relays. A
+     * reconnecting client gets a random one, since its own may be slow, unless delay is unobserved and nobody knows it.
      */
-    private int assignSubsetIndex(Association a, double part, long now) {
-        double least = Double.MAX_VALUE, warmed = 0;
-        int n = 0;
-        long who = a.isReconnect && !a.isMidFlow && !isDelayUnobserved ? random.nextLong() : a.clientKey;
-        // Danger: a group that lay on cold backends alone would push them over with all its clients at once.
-        for (double left = part; (left > 0.5 || warmed < 1) && preferredBackend(n) != null; n++) {
-            Backend b = preferredBackend(n);
-            // Danger: those on a draining one would be strewn over what comes next, past all that are cold.
-            if (b.stage == Stage.READY || a.isMidFlow) {
-                double draw = rendezvousScore(who, b, now);
-                left -= relativeCapacity(b, now);
-                warmed += slowStartFactor(b, now);
-                a.subsetIndex = draw < least ? n : a.subsetIndex;
-                least = Math.min(least, draw);
+    private int assignSubsetIndex(Association association, double subsetSize, long now) {
+        double lowestScore = Double.MAX_VALUE, warm = 0;
+        int rank = 0;
+        long clientHash = association.isReconnect && !association.isMidFlow && !isDelayUnobserved
+                ? random.nextLong()
+                : association.clientKey;
+        // A subset of cold backends alone would be overloaded by the clients of the group arriving at once.
+        for (double remaining = subsetSize; (remaining > 0.5 || warm < 1) && preferredBackend(rank) != null; rank++) {
+            Backend backend = preferredBackend(rank);
+            // If draining backends counted, their clients would go to the next ones in order, past the cold ones.
+            if (backend.stage == Stage.READY || association.isMidFlow) {
+                double score = rendezvousScore(clientHash, backend, now);
+                remaining -= relativeCapacity(backend, now);
+                warm += slowStartFactor(backend, now);
+                association.subsetIndex = score < lowestScore ? rank : association.subsetIndex;
+                lowestScore = Math.min(lowestScore, score);
             }
         }
-        return Math.max(1, n);
+        return Math.max(1, rank);
     }
 
-    /** The least draw is a client's place: each backend has the chance of its size (rendezvous hashing). */
-    private double rendezvousScore(long who, Backend b, long now) {
-        return -StrictMath.log((Backend.mix64(who ^ b.hash) >>> 11) * 0x1p-53) / relativeCapacity(b, now);
+    /** Weighted rendezvous hashing: the lowest score wins, with a probability proportional to the capacity. */
+    private double rendezvousScore(long clientHash, Backend b, long now) {
+        return -StrictMath.log((Backend.mix64(clientHash ^ b.hash) >>> 11) * 0x1p-53) / relativeCapacity(b, now);
     }
 
-    /** A fresh one counts a quarter more than its warmth, which is the least that the settings promise. */
+    /** Capacity relative to the mean. A cold backend counts 1.25 times its slow start factor, the promised minimum. */
     private double relativeCapacity(Backend b, long now) {
         return b.weight * Math.min(1, 1.25 * slowStartFactor(b, now)) * effectiveBackendCount / effectiveWeightSum;
     }
 
     /**
-     * Danger: what was placed while fresh backends were cold stays where it piled up, and nothing tells that it is late
-     * there. While any warms up, a few a second whose own place is elsewhere by now are moved.
+     * Moves some connections whose assigned backend has changed. Those placed while new backends were cold would
+     * otherwise stay on the few backends that took them, and nothing would show that they are slow there.
      */
     private void rebalance(DueActions due, long now) {
         nextRebalanceAt = now + SECOND;
         recomputeTotals(now);
-        for (int i = 0, looked = 0; i < tableMembers.length && looked < MAX_REBALANCE_CANDIDATES; i++) {
-            Backend b = tableMembers[rebalanceIndex % tableMembers.length];
+        for (int i = 0, examined = 0; i < tableMembers.length && examined < MAX_REBALANCE_CANDIDATES; i++) {
+            Backend backend = tableMembers[rebalanceIndex % tableMembers.length];
             rebalanceIndex = (rebalanceIndex + 1) % tableMembers.length;
-            looked += b.openConnections.size();
-            for (Association a : b.stage == Stage.READY ? b.openConnections : List.<Association>of()) {
+            examined += backend.openConnections.size();
+            for (Association a : backend.stage == Stage.READY ? backend.openConnections : List.<Association>of()) {
                 if (a.groupKey != 0
                         && !a.moveRequested
                         && random.nextInt(REBALANCE_ONE_IN) == 0
-                        && isMisplaced(a, b, now)) {
+                        && isMisplaced(a, backend, now)) {
                     a.moveRequested = true;
                     due.connectionsToMove.add(a);
                 }
@@ -611,144 +608,147 @@
 
     private boolean isMisplaced(Association a, Backend b, long now) {
         startPreferenceOrder(a);
-        int was = a.subsetIndex;
+        int previousIndex = a.subsetIndex;
         assignSubsetIndex(a, subsetSize(trackingTable.get(a.placementKey()), 0), now);
-        Backend own = preferredBackend(a.subsetIndex);
-        a.subsetIndex = was;
-        return own != null
-                && own.stage == Stage.READY
-                && rendezvousScore(a.clientKey, own, now) < rendezvousScore(a.clientKey, b, now);
+        Backend assigned = preferredBackend(a.subsetIndex);
+        a.subsetIndex = previousIndex;
+        return assigned != null
+                && assigned.stage == Stage.READY
+                && rendezvousScore(a.clientKey, assigned, now) < rendezvousScore(a.clientKey, b, now);
     }
 
-    /** Holds twice its part and two more, or what it carries, said so, or is late. */
-    private boolean isOverCapacity(Backend b, double lateShare, long now) {
-        double unit = meanConnectionLoad() == 0 ? 1 : meanConnectionLoad();
+    /** True if full, slow, just offloaded, at its load limit, or over twice (1.25 if many are slow) its fair share. */
+    private boolean isOverCapacity(Backend b, double slowShare, long now) {
+        double unit = meanConnectionLoad() == 0 ? 1 : meanConnectionLoad(); // one connection
         double fair = totalConnections * unit * b.weight * slowStartFactor(b, now) / Math.max(effectiveWeightSum, 1e-9);
-        double bound = Math.max(1.25, 2 - 2 * lateShare);
-        double has = b.effectiveLoad(meanConnectionLoad());
+        double bound = Math.max(1.25, 2 - 2 * slowShare); // factor, and margin in connections
+        double current = b.effectiveLoad(meanConnectionLoad());
         return now < b.overCapacityUntil
                 || isSlow(b, now)
                 || now - b.lastOffloadAt < 5 * SECOND
-                || has >= loadLimit(b, now)
-                || has > bound * fair && has >= fair + bound * unit;
+                || current >= loadLimit(b, now)
+                || current > bound * fair && current >= fair + bound * unit;
     }
 
-    /** Danger: a burst fills a backend before its messages are told to be late; what it carried bounds it. */
+    /** Load at which it was last slow, relaxed with time. It limits bursts that come before the first delay report. */
     private double loadLimit(Backend b, long now) {
-        double since = (double) (now - b.lastSlowAt) / (10 * SECOND);
-        return b.observedCapacity == 0 ? Double.MAX_VALUE : b.observedCapacity * (1 + since / 2 + since * since);
+        double elapsed = (double) (now - b.lastSlowAt) / (10 * SECOND);
+        return b.observedCapacity == 0 ? Double.MAX_VALUE : b.observedCapacity * (1 + elapsed / 2 + elapsed * elapsed);
     }
 
-    /** The usual load of one connection, 0 where none is told. */
+    /** Returns the mean load of one connection, or 0 if no load is reported. */
     private double meanConnectionLoad() {
         return totalLoad > 0 && totalConnections > 0 ? totalLoad / totalConnections : 0;
     }
 
-    /** Makes the sums over the ready backends anew; between, tally keeps those of load and connections. */
+    /** Recomputes the sums over the ready backends. In between, addToTotals updates load and connections. */
     private void recomputeTotals(long now) {
         effectiveWeightSum = rosterWeightSum = effectiveBackendCount = totalLoad = totalConnections = readyBackends = 0;
         totalsUpdatedAt = now;
-        for (Backend b : tableMembers) {
-            if (b.stage == Stage.READY) {
+        for (Backend backend : tableMembers) {
+            if (backend.stage == Stage.READY) {
                 readyBackends++;
-                effectiveWeightSum += b.weight * slowStartFactor(b, now);
-                rosterWeightSum += b.weight;
-                effectiveBackendCount += slowStartFactor(b, now);
-                totalLoad += b.load;
-                totalConnections += b.connectionCount();
+                effectiveWeightSum += backend.weight * slowStartFactor(backend, now);
+                rosterWeightSum += backend.weight;
+                effectiveBackendCount += slowStartFactor(backend, now);
+                totalLoad += backend.load;
+                totalConnections += backend.connectionCount();
             }
         }
     }
 
-    private void addToTotals(Backend b, int connections, double work) {
-        b.load += work;
-        if (b.stage == Stage.READY) {
-            totalConnections += connections;
-            totalLoad += work;
+    private void addToTotals(Backend backend, int connectionDelta, double loadDelta) {
+        backend.load += loadDelta;
+        if (backend.stage == Stage.READY) {
+            totalConnections += connectionDelta;
+            totalLoad += loadDelta;
         }
     }
 
-    /** Over half of the backends tried lately fail set-ups. */
+    /** True if more than half of the recently tried backends, and at least three, fail set-ups. */
     private boolean detectWidespreadSetUpFailures(long now) {
-        long doubtful = recentlyTriedBackends.stream()
+        long failing = recentlyTriedBackends.stream()
                 .filter(b -> b.decayEvidence(now, EVIDENCE_HALF_LIFE).sharedCauseFailures >= 0.25)
                 .count();
         recentlyTriedBackends.removeIf(b -> b.sharedCauseFailures + b.successes < 0.25 || b.stage == Stage.GONE);
-        return doubtful * 2 > recentlyTriedBackends.size() && doubtful > 2;
+        return failing * 2 > recentlyTriedBackends.size() && failing > 2;
     }
 
-    /** Its messages are told to take long; with none left here to tell, that is kept the longer. */
-    private boolean isSlow(Backend b, long now) {
-        double kept = b.openConnections.isEmpty()
+    /** True after a recent report of delay. Without open connections no report can follow, so it is valid longer. */
+    private boolean isSlow(Backend backend, long now) {
+        double retentionSeconds = backend.openConnections.isEmpty()
                 ? Math.max(3, Math.min(30, 6 * effectiveBackendCount / Math.max(totalConnections, 1)))
                 : 3;
-        return b.reportedDelay > 0 && now - b.delayReportedAt < kept * SECOND;
+        return backend.reportedDelay > 0 && now - backend.delayReportedAt < retentionSeconds * SECOND;
     }
 
-    /** Plainly empty: nothing here though this relay holds much, or for long though it holds some. */
-    private boolean isIdle(Backend b, long now) {
-        return b.connectionCount() == 0
+    /** True if the backend has no connection although this relay has many, or has had none for long. */
+    private boolean isIdle(Backend backend, long now) {
+        return backend.connectionCount() == 0
                 && (totalConnections > 3 * effectiveBackendCount
                         || totalConnections * 4 > relayCount * effectiveBackendCount
-                                && now - b.lastActiveAt > 5 * SECOND);
+                                && now - backend.lastActiveAt > 5 * SECOND);
     }
 
-    /** What a fresh backend counts for, by its age. */
-    private double slowStartFactor(Backend b, long now) {
-        long start = slowStartBeganAt(b);
+    /** Returns the factor on a backend's weight: rises linearly from the initial factor to 1 with its age. */
+    private double slowStartFactor(Backend backend, long now) {
+        long start = slowStartBeganAt(backend);
         return start == 0 || now - start >= slowStartDuration
                 ? 1
                 : slowStartInitialFactor + (1 - slowStartInitialFactor) * Math.max(0, now - start) / slowStartDuration;
     }
 
-    /** Danger: relays that begin with old lists would flood what may have just started: it is cold. */
-    private long slowStartBeganAt(Backend b) {
-        return Math.max(b.startedAt, staleRosterSince);
+    /** With a stale roster every backend counts as cold, since relays would overload those that just started. */
+    private long slowStartBeganAt(Backend backend) {
+        return Math.max(backend.startedAt, staleRosterSince);
     }
 
-    /** Draws whether a doubtful backend gets work. */
-    private boolean passesOutlierDetection(Backend b, long now) {
-        // Danger: a shared store that slows fails set-ups everywhere; blaming each backend would leave none.
-        double no = b.decayEvidence(now, EVIDENCE_HALF_LIFE).failures
-                - (hasWidespreadSetUpFailures ? b.sharedCauseFailures : 0);
-        double yes = 1 + b.successes;
-        double sum = yes + no;
-        double spread = Math.sqrt(yes * no / (sum * sum * (sum + 1)));
-        return no < 0.25 || yes / sum + spread * random.nextGaussian() >= 0.5;
+    /** Samples the success probability (beta posterior, normal approximation); true if it is at least one half. */
+    private boolean passesOutlierDetection(Backend backend, long now) {
+        // A slow shared store fails set-ups at all backends. Counting it against each would exclude them all.
+        double failures = backend.decayEvidence(now, EVIDENCE_HALF_LIFE).failures
+                - (hasWidespreadSetUpFailures ? backend.sharedCauseFailures : 0);
+        double successes = 1 + backend.successes;
+        double trials = successes + failures;
+        double deviation = Math.sqrt(successes * failures / (trials * trials * (trials + 1)));
+        return failures < 0.25 || successes / trials + deviation * random.nextGaussian() >= 0.5;
     }
 
-    private void recordOutcome(Backend b, DispatchOutcome outcome, boolean wasEstablished, long now) {
-        b.decayEvidence(now, EVIDENCE_HALF_LIFE);
-        // Danger: what is unlisted and really gone would fail a dispatch again and again; but a shared store
-        // that slows times set-ups out on all that are unlisted, and none would be left.
-        boolean fails = outcome == DispatchOutcome.NOT_CONNECTED
+    private void recordOutcome(Backend backend, DispatchOutcome outcome, boolean wasEstablished, long now) {
+        backend.decayEvidence(now, EVIDENCE_HALF_LIFE);
+        // A backend that is missing from the roster and really gone would fail dispatches again and again. Timeouts
+        // don't count during widespread failures, as a slow shared store would then remove all missing backends.
+        boolean setUpFailed = outcome == DispatchOutcome.NOT_CONNECTED
                 || outcome == DispatchOutcome.TIMED_OUT && !hasWidespreadSetUpFailures;
-        if (b.missingFromRoster
-                && fails
+        if (backend.missingFromRoster
+                && setUpFailed
                 && !wasEstablished
-                && ++b.setUpFailuresWhileMissing >= MAX_SET_UP_FAILURES_WHILE_MISSING) {
-            applyRosterEntry(b, new RosterEntry(b.id, Stage.GONE, 0, b.cell, b.weight, b.zone, 0), now);
+                && ++backend.setUpFailuresWhileMissing >= MAX_FAILURES_WHILE_MISSING) {
+            applyRosterEntry(
+                    backend,
+                    new RosterEntry(backend.id, Stage.GONE, 0, backend.cell, backend.weight, backend.zone, 0),
+                    now);
             rebuildTableMembers();
             recomputeTotals(now);
         }
         switch (outcome) {
-            case FULL -> b.overCapacityUntil = now + SECOND / 2;
-            case NOT_CONNECTED -> b.failures++;
+            case FULL -> backend.overCapacityUntil = now + SECOND / 2;
+            case NOT_CONNECTED -> backend.failures++;
             case RESET -> {
-                b.failures += wasEstablished ? 0.5 : 1;
-                long since = now - b.lastResetAt;
-                b.lastResetAt = wasEstablished ? now : b.lastResetAt;
-                // Danger: with no delay seen, connections come back to one that breaks them over and over.
-                if (isDelayUnobserved && wasEstablished && since > SECOND / 10 && since < 2 * SECOND) {
-                    onDelayReport(b.id, shortestMessageGoal, now);
+                backend.failures += wasEstablished ? 0.5 : 1;
+                long elapsed = now - backend.lastResetAt;
+                backend.lastResetAt = wasEstablished ? now : backend.lastResetAt;
+                // With delay unobserved, clients would return again and again to a backend that resets them.
+                if (isDelayUnobserved && wasEstablished && elapsed > SECOND / 10 && elapsed < 2 * SECOND) {
+                    onDelayReport(backend.id, shortestMessageGoal, now);
                 }
             }
             case ERROR, TIMED_OUT -> {
-                b.failures++;
-                b.sharedCauseFailures++;
-                recentlyTriedBackends.add(b);
+                backend.failures++;
+                backend.sharedCauseFailures++;
+                recentlyTriedBackends.add(backend);
                 hasWidespreadSetUpFailures = detectWidespreadSetUpFailures(now);
-                // Danger: repeats of all relays keep a jammed store jammed; set-ups wait until some stand.
+                // Retries of all relays would keep a shared store overloaded. Set-ups are spaced until some succeed.
                 if (hasWidespreadSetUpFailures) {
                     logRateLimited("set-ups fail all over, spacing them", now);
                     setUpInterval = Math.min(
@@ -761,80 +761,83 @@
         }
     }
 
-    // ---- the one send, its gate and the giving up
-
-    /** Rule 2, no effect twice: whether it may be sent again, to b or, with null, to any backend at all. */
-    private boolean isSafeToRepeat(Association a, Backend b, long now) {
-        UseCase u = useCases[a.useCase];
-        for (int d = 0; d < a.dispatchCount; d++) {
-            Backend before = backendsById.get(a.sentTo[d]);
-            boolean apart = b != null
-                    && (u.scope() == DeduplicationScope.ZONE && before.zone != b.zone
-                            || u.scope() == DeduplicationScope.CELL && before.cell != b.cell);
-            boolean over = apart || now - a.sentAt[d] >= u.deduplicationWindow();
-            if (a.dispatchStates[d] != DispatchState.NEVER_RAN
-                    && (u.effect() == Effect.BINDING || u.effect() == Effect.FINGERPRINTED && over)) {
+    // ---- dispatching, its preconditions, and giving up
+    /** Rule 2, no effect twice: true if a dispatch is safe at the backend, or with null at some backend. */
+    private boolean isSafeToRepeat(Association association, Backend backend, long now) {
+        UseCase useCase = useCases[association.useCase];
+        for (int d = 0; d < association.dispatchCount; d++) {
+            Backend earlier = backendsById.get(association.sentTo[d]);
+            boolean outsideScope = backend != null
+                    && (useCase.scope() == DeduplicationScope.ZONE && earlier.zone != backend.zone
+                            || useCase.scope() == DeduplicationScope.CELL && earlier.cell != backend.cell);
+            boolean undetected = outsideScope || now - association.sentAt[d] >= useCase.deduplicationWindow();
+            if (association.dispatchStates[d] != DispatchState.NEVER_RAN
+                    && (useCase.effect() == Effect.BINDING || useCase.effect() == Effect.FINGERPRINTED && undetected)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The one place that every send passes: rules 2, 3 and 4 are kept here. */
-    private boolean mayDispatch(Backend b, Association a, boolean own, long now) {
-        if (a.closed || a.hasDispatchInFlight() && !allowsConcurrentDispatches || !isSafeToRepeat(a, b, now)) {
+    /** Checks rules 2 (no effect twice), 3 (drain grace) and 4 (slow start). Every dispatch must pass it. */
+    private boolean mayDispatch(Backend backend, Association association, boolean isAssigned, long now) {
+        if (association.closed
+                || association.hasDispatchInFlight() && !allowsConcurrentDispatches
+                || !isSafeToRepeat(association, backend, now)) {
             return false;
         }
-        // Rule 3: nothing new past the grace.
-        if (b.stage != Stage.READY && now - b.drainNoticedAt >= drainGracePeriod / 2) {
+        // Rule 3: no new dispatch past the grace period; the relay stops at half of it.
+        if (backend.stage != Stage.READY && now - backend.drainNoticedAt >= drainGracePeriod / 2) {
             return false;
         }
-        // Rule 4: no cold backend pushed over.
-        if (slowStartFactor(b, now) < 1) {
-            double rate = slowStartRate(b, now);
-            if (b.slowStartBudgetUpdatedAt < slowStartBeganAt(b)) {
-                // Danger: relays that begin at one moment would all send the first at one moment too.
-                double most = staleRosterSince > 0 ? 1 : isSampleTooSmall() ? unobservedShare() : 0;
-                b.slowStartBudget = most > 0 ? random.nextDouble() * most : 0;
-                b.slowStartBudgetUpdatedAt = Math.max(slowStartBeganAt(b), now - slowStartBudgetWindow);
+        // Rule 4: cold backends are not overloaded.
+        if (slowStartFactor(backend, now) < 1) {
+            double rate = slowStartRate(backend, now);
+            if (backend.slowStartBudgetUpdatedAt < slowStartBeganAt(backend)) {
+                // A random initial budget. Relays that start together would otherwise all dispatch at the same time.
+                double initialBudget = staleRosterSince > 0 ? 1 : isSampleTooSmall() ? unobservedShare() : 0;
+                backend.slowStartBudget = initialBudget > 0 ? random.nextDouble() * initialBudget : 0;
+                backend.slowStartBudgetUpdatedAt = Math.max(slowStartBeganAt(backend), now - slowStartBudgetWindow);
             }
-            b.slowStartBudget = Math.min(
+            backend.slowStartBudget = Math.min(
                     Math.max(1, rate * slowStartBudgetWindow),
-                    b.slowStartBudget + rate * (now - b.slowStartBudgetUpdatedAt));
-            b.slowStartBudgetUpdatedAt = now;
-            // Danger: of a hundred relays none earns a whole dispatch in time, and fresh ones get nothing.
-            // Where it is the client's own place, drawn by warmth, the sum is in proportion: one goes ahead.
-            // The less of the fleet is warm, the fewer go ahead; an open connection likely is there already.
-            double ahead = unobservedShare()
+                    backend.slowStartBudget + rate * (now - backend.slowStartBudgetUpdatedAt));
+            backend.slowStartBudgetUpdatedAt = now;
+            // With a hundred relays none earns a whole dispatch in time, and new backends would get nothing. A client's
+            // assigned backend may exceed the budget, since assignment follows the slow start factor and the sum stays
+            // in proportion. The smaller the warm share of the fleet, the smaller the excess. A mid-flow connection
+            // needs no budget of its own, since it is probably open there already.
+            double maxOverdraft = unobservedShare()
                     * Math.min(
                             1,
                             4
                                     * effectiveBackendCount
                                     * effectiveBackendCount
                                     / Math.max(readyBackends * readyBackends, 1));
-            int first = a.isMidFlow && a.dispatchCount == 0 ? 0 : 1;
-            return b.slowStartBudget >= 1 || own && isSampleTooSmall() && b.slowStartBudget > first - ahead;
+            int required = association.isMidFlow && association.dispatchCount == 0 ? 0 : 1;
+            return backend.slowStartBudget >= 1
+                    || isAssigned && isSampleTooSmall() && backend.slowStartBudget > required - maxOverdraft;
         }
         return true;
     }
 
-    /** This relay's part, in dispatches a nanosecond, of what a backend of that size and age may be sent. */
-    private double slowStartRate(Backend b, long now) {
+    /** Returns this relay's share of the dispatches per nanosecond that a backend of this weight and age may get. */
+    private double slowStartRate(Backend backend, long now) {
         decayCompletedConnections(now);
-        // Danger: dispatches of a storm of resets come back many times over and would inflate the budget.
-        double span = Math.min(now - observedSince, 10 * SECOND) + SECOND;
-        // Where few are late, a warm backend could do some times what it is seen to do.
-        int room = !isDelayReported || slowBackends.size() * 8 > tableMembers.length ? 1 : 4;
-        // Danger: with all of them counted as cold, parts of the cold weights would cancel what cold means.
+        // Based on completed connections. In a reset storm dispatches repeat and would inflate the budget.
+        double observedTime = Math.min(now - observedSince, 10 * SECOND) + SECOND;
+        // While few backends are slow, a warm backend can sustain a multiple of what it is seen to do.
+        int headroom = !isDelayReported || slowBackends.size() * 8 > tableMembers.length ? 1 : 4;
+        // With a stale roster all backends count as cold. Dividing by effective weights would cancel the factor.
         double rate = slowStartBudgetMultiple
-                * slowStartFactor(b, now)
-                * room
+                * slowStartFactor(backend, now)
+                * headroom
                 * (staleRosterSince > 0
-                        ? Math.max(restoredCompletionRate, completedConnections / span)
-                        : completedConnections / span)
-                * b.weight
+                        ? Math.max(restoredCompletionRate, completedConnections / observedTime)
+                        : completedConnections / observedTime)
+                * backend.weight
                 / Math.max(staleRosterSince > 0 ? rosterWeightSum : effectiveWeightSum, 1e-9);
-        // Danger: a relay that learned nothing must not sit idle; any backend sets up one connection a fall.
+        // Without learned state the rate would stay 0. Any backend can set up one connection per budget window.
         return staleRosterSince > 0
                 ? Math.max(rate, slowStartBudgetMultiple / relayCount / slowStartBudgetWindow)
                 : rate;
@@ -846,56 +849,62 @@
         return completedConnections;
     }
 
-    private Decision dispatchTo(Association a, Backend b, long now) {
-        b.slowStartBudget -= slowStartFactor(b, now) < 1 ? 1 : 0;
-        a.recordDispatch(b.id, now);
-        b.lastActiveAt = now;
-        b.pendingDispatches++;
-        addToTotals(b, 1, 0);
-        return new Decision(Kind.SEND, b.id, dispatchTimeout(a, now));
+    private Decision dispatchTo(Association association, Backend backend, long now) {
+        backend.slowStartBudget -= slowStartFactor(backend, now) < 1 ? 1 : 0;
+        association.recordDispatch(backend.id, now);
+        backend.lastActiveAt = now;
+        backend.pendingDispatches++;
+        addToTotals(backend, 1, 0);
+        return new Decision(Kind.SEND, backend.id, dispatchTimeout(association, now));
     }
 
-    /** Leaves room for a further dispatch before the goal time. */
-    private long dispatchTimeout(Association a, long now) {
-        long usual = Math.max(useCases[a.useCase].goalTime() / 2, (long) (4 * typicalSetUpTime));
-        boolean last = a.dispatchCount - a.uncountedDispatches >= maxDispatches || setUpInterval > 0;
-        return last ? a.cutOffAt - now : Math.min(a.cutOffAt - now, usual);
+    /** Returns the timeout of the next dispatch. Unless it is the last, it leaves time for another before the goal. */
+    private long dispatchTimeout(Association association, long now) {
+        long typicalTimeout = Math.max(useCases[association.useCase].goalTime() / 2, (long) (4 * typicalSetUpTime));
+        boolean isLast =
+                association.dispatchCount - association.uncountedDispatches >= maxDispatches || setUpInterval > 0;
+        return isLast ? association.cutOffAt - now : Math.min(association.cutOffAt - now, typicalTimeout);
     }
 
-    private Decision waitOrGiveUp(Association a, long now) {
-        long until = now + (50 * MILLISECOND << Math.min(a.waitCount++, 5));
-        UseCase u = useCases[a.useCase];
-        return until < a.cutOffAt - u.cutOff() + u.goalTime() ? new Decision(Kind.WAIT, 0, until) : shedOrForfeit(a);
+    private Decision waitOrGiveUp(Association association, long now) {
+        long retryAt = now + (50 * MILLISECOND << Math.min(association.waitCount++, 5));
+        UseCase useCase = useCases[association.useCase];
+        return retryAt < association.cutOffAt - useCase.cutOff() + useCase.goalTime()
+                ? new Decision(Kind.WAIT, 0, retryAt)
+                : shedOrForfeit(association);
     }
 
-    /** Rule 1: the one place a final answer is given, at once. */
-    private Decision shedOrForfeit(Association a) {
-        a.closed = true;
-        UseCase u = useCases[a.useCase];
-        boolean harmless = u.effect() == Effect.RETRIABLE || u.scope() == DeduplicationScope.ALL || a.noDispatchRan();
-        return harmless ? new Decision(Kind.SHED, 0, shedRetryAfter) : Decision.FORFEIT;
+    /** Rule 1, one final answer: closes the association; shed if no dispatch can have had an effect, else forfeited. */
+    private Decision shedOrForfeit(Association association) {
+        association.closed = true;
+        UseCase useCase = useCases[association.useCase];
+        boolean mayShed = useCase.effect() == Effect.RETRIABLE
+                || useCase.scope() == DeduplicationScope.ALL
+                || association.noDispatchRan();
+        return mayShed ? new Decision(Kind.SHED, 0, shedRetryAfter) : Decision.FORFEIT;
     }
 
-    /** Few lines: one in five seconds at the most. */
-    private void logRateLimited(String line, long now) {
-        if (now - lastLoggedAt >= 5 * SECOND && pendingActions.logMessages.add(line)) {
+    /** Queues a log message, at most one in five seconds. */
+    private void logRateLimited(String message, long now) {
+        if (now - lastLoggedAt >= 5 * SECOND && pendingActions.logMessages.add(message)) {
             lastLoggedAt = now;
         }
     }
 
-    private void addConnection(Association a, Backend b) {
-        a.established = true;
-        b.pendingDispatches--;
-        b.addConnection(a);
-        occupiedBackends += b.openConnections.size() == 1 ? 1 : 0;
-        addToTotals(b, 0, a.load);
-        if (a.placementKey() != 0) {
-            TrackingEntry entry = trackingTable.computeIfAbsent(a.placementKey(), TrackingEntry::new);
+    private void addConnection(Association association, Backend backend) {
+        association.established = true;
+        backend.pendingDispatches--;
+        backend.addConnection(association);
+        occupiedBackends += backend.openConnections.size() == 1 ? 1 : 0;
+        addToTotals(backend, 0, association.load);
+        if (association.placementKey() != 0) {
+            TrackingEntry entry = trackingTable.computeIfAbsent(association.placementKey(), TrackingEntry::new);
             sameKeyPairs += entry.openConnections.size();
-            entry.openConnections.add(a);
-            TrackingEntry pin =
-                    a.subsetIndex <= 0 ? entry : trackingTable.computeIfAbsent(a.pinKey(), TrackingEntry::new);
-            pin.pinnedBackend = b;
+            entry.openConnections.add(association);
+            TrackingEntry pin = association.subsetIndex <= 0
+                    ? entry
+                    : trackingTable.computeIfAbsent(association.pinKey(), TrackingEntry::new);
+            pin.pinnedBackend = backend;
             changeTracker.markChanged(entry);
             changeTracker.markChanged(pin);
             if (trackingTable.size() > MAX_TRACKING_ENTRIES) {
@@ -905,79 +914,81 @@
         }
     }
 
-    private void removeConnection(Association a, Backend b, long now) {
-        b.lastActiveAt = now;
-        if (!a.established) {
-            b.pendingDispatches--;
-            addToTotals(b, -1, 0);
+    private void removeConnection(Association association, Backend backend, long now) {
+        backend.lastActiveAt = now;
+        if (!association.established) {
+            backend.pendingDispatches--;
+            addToTotals(backend, -1, 0);
         }
-        if (b.removeConnection(a)) {
-            addToTotals(b, -1, b.openConnections.isEmpty() ? -b.load : -a.load);
-            occupiedBackends -= b.openConnections.isEmpty() ? 1 : 0;
+        if (backend.removeConnection(association)) {
+            addToTotals(backend, -1, backend.openConnections.isEmpty() ? -backend.load : -association.load);
+            occupiedBackends -= backend.openConnections.isEmpty() ? 1 : 0;
         }
-        TrackingEntry entry = trackingTable.get(a.placementKey());
-        if (entry != null && entry.openConnections.remove(a)) {
+        TrackingEntry entry = trackingTable.get(association.placementKey());
+        if (entry != null && entry.openConnections.remove(association)) {
             sameKeyPairs -= entry.openConnections.size();
             entry.unusedSince = now;
             changeTracker.markChanged(entry);
         }
     }
 
-    private boolean applyRosterEntry(Backend b, RosterEntry line, long now) {
-        // Danger: a list that calls running backends gone would leave few or none; it alone does not count.
-        boolean calledGone = b.stage == Stage.READY && line.stage() == Stage.GONE;
-        if (removalNeedsConfirmation && calledGone && b.setUpFailuresWhileMissing < MAX_SET_UP_FAILURES_WHILE_MISSING) {
-            b.missingFromRoster = true;
+    private boolean applyRosterEntry(Backend backend, RosterEntry entry, long now) {
+        // A faulty roster may omit running backends, so removal needs failed set-ups too. Else few would be left.
+        boolean removed = backend.stage == Stage.READY && entry.stage() == Stage.GONE;
+        if (removalNeedsConfirmation && removed && backend.setUpFailuresWhileMissing < MAX_FAILURES_WHILE_MISSING) {
+            backend.missingFromRoster = true;
             return false;
         }
-        b.missingFromRoster = false;
-        b.setUpFailuresWhileMissing = 0;
-        double weight = usesRosterWeights && line.weight() > 0 ? line.weight() : 1;
-        boolean changed = b.weight != weight || (b.stage == Stage.GONE) != (line.stage() == Stage.GONE);
-        if (line.stage() != Stage.READY && (b.stage == Stage.READY || b.drainNoticedAt == 0)) {
-            b.drainNoticedAt = now;
-            changeTracker.markChanged(b);
-        }
-        if (line.stage() == Stage.READY && line.startedAt() != b.startedAt) {
-            b.successes = 0;
-            b.failures = 0;
-            b.overCapacityUntil = 0;
-        }
-        b.lastActiveAt = b.lastActiveAt == 0 ? now : b.lastActiveAt;
-        b.stage = line.stage();
-        b.startedAt = line.stage() == Stage.GONE ? b.startedAt : line.startedAt();
-        b.weight = weight;
-        b.cell = line.cell();
-        b.zone = line.zone();
+        backend.missingFromRoster = false;
+        backend.setUpFailuresWhileMissing = 0;
+        double weight = usesRosterWeights && entry.weight() > 0 ? entry.weight() : 1;
+        boolean changed = backend.weight != weight || (backend.stage == Stage.GONE) != (entry.stage() == Stage.GONE);
+        if (entry.stage() != Stage.READY && (backend.stage == Stage.READY || backend.drainNoticedAt == 0)) {
+            backend.drainNoticedAt = now;
+            changeTracker.markChanged(backend);
+        }
+        if (entry.stage() == Stage.READY && entry.startedAt() != backend.startedAt) {
+            backend.successes = 0;
+            backend.failures = 0;
+            backend.overCapacityUntil = 0;
+        }
+        backend.lastActiveAt = backend.lastActiveAt == 0 ? now : backend.lastActiveAt;
+        backend.stage = entry.stage();
+        backend.startedAt = entry.stage() == Stage.GONE ? backend.startedAt : entry.startedAt();
+        backend.weight = weight;
+        backend.cell = entry.cell();
+        backend.zone = entry.zone();
         slowStartsEndAt = Math.max(
                 slowStartsEndAt,
-                b.startedAt == 0 ? slowStartsEndAt : b.startedAt + slowStartDuration + slowStartDuration / 64);
+                backend.startedAt == 0
+                        ? slowStartsEndAt
+                        : backend.startedAt + slowStartDuration + slowStartDuration / 64);
         return changed;
     }
 
-    /** Maglev: the listed backends, sorted by id, take slots in turn, each by its own offset and skip. */
+    /** Maglev: members, sorted by id, take slots in weighted turns; each walks from its own offset by its own skip. */
     private void fillLookupTable() {
         preferenceOrder = new Backend[tableMembers.length];
         lookupTable = new Backend[tableMembers.length == 0 ? 0 : LOOKUP_TABLE_SIZE];
-        int n = tableMembers.length;
-        int[] next = new int[n];
-        double[] turns = new double[n];
-        double heaviest =
+        int count = tableMembers.length;
+        int[] nextSlot = new int[count];
+        double[] credit = new double[count];
+        double maxWeight =
                 Arrays.stream(tableMembers).mapToDouble(b -> b.weight).max().orElse(0);
-        for (int i = 0; i < n; i++) {
-            next[i] = (int) Long.remainderUnsigned(tableMembers[i].hash, LOOKUP_TABLE_SIZE);
+        for (int i = 0; i < count; i++) {
+            nextSlot[i] = (int) Long.remainderUnsigned(tableMembers[i].hash, LOOKUP_TABLE_SIZE);
         }
-        for (int filled = 0, i = 0; n > 0 && filled < LOOKUP_TABLE_SIZE; i = (i + 1) % n) {
-            turns[i] += tableMembers[i].weight / heaviest;
-            if (turns[i] < 1) {
+        for (int filled = 0, i = 0; count > 0 && filled < LOOKUP_TABLE_SIZE; i = (i + 1) % count) {
+            credit[i] += tableMembers[i].weight / maxWeight;
+            if (credit[i] < 1) {
                 continue;
             }
-            turns[i]--;
+            credit[i]--;
             int skip = (int) Long.remainderUnsigned(Backend.mix64(tableMembers[i].hash), LOOKUP_TABLE_SIZE - 1) + 1;
-            while (lookupTable[next[i]] != null) {
-                next[i] = (next[i] + skip) % LOOKUP_TABLE_SIZE;
+            while (lookupTable[nextSlot[i]] != null) {
+                nextSlot[i] = (nextSlot[i] + skip) % LOOKUP_TABLE_SIZE;
             }
-            lookupTable[next[i]] = tableMembers[i];
+            lookupTable[nextSlot[i]] = tableMembers[i];
             filled++;
         }
     }
