--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -67,7 +67,7 @@
     private final boolean isDelayReported; // delay reports arrive
     private final boolean isDelayUnobserved; // the wire protocol shows no message delay at all
     private final boolean removalNeedsConfirmation; // a roster entry alone doesn't remove a ready backend
-    private final boolean isRosterPushed; // no calls are needed
+    private final boolean isRosterPushed; // pushed by an agent; no calls at start
     private final long drainGracePeriod; // from when this relay learned of the drain
     private final long rosterCallDeadline; // after it the relay counts as informed of a roster change
     private final long slowStartDuration; // age at which a backend is warm
@@ -80,7 +80,6 @@
     private long longestCutOff; // longest time that any client waits for an answer
     private double typicalLoad; // moving average of the load per connection
     private int loadReportCount; // load reports that typicalLoad rests on
-
     private long nextWatchAt; // when to call the roster service; Long.MAX_VALUE if no call is due
     private int rosterCallFailures; // consecutive
     private long nextRebalanceAt; // at most one pass a second
@@ -534,6 +533,7 @@
         currentMark++;
     }
 
+    /** Returns the backend at this rank of the key's order, walking the table as needed; null past the end. */
     private Backend preferredBackend(int rank) {
         for (int end = nextTableSlot + LOOKUP_TABLE_SIZE;
                 preferenceCount <= rank && nextTableSlot < end && lookupTable.length > 0;
@@ -578,7 +578,7 @@
         return -StrictMath.log((Backend.mix64(clientHash ^ b.hash) >>> 11) * 0x1p-53) / relativeCapacity(b, now);
     }
 
-    /** Capacity relative to the mean. A cold backend counts 1.25 times its slow start factor, the promised minimum. */
+    /** Capacity relative to the mean; when cold, 1.25 times the slow start factor, which is the promised minimum. */
     private double relativeCapacity(Backend b, long now) {
         return b.weight * Math.min(1, 1.25 * slowStartFactor(b, now)) * effectiveBackendCount / effectiveWeightSum;
     }
@@ -866,6 +866,7 @@
         return isLast ? association.cutOffAt - now : Math.min(association.cutOffAt - now, typicalTimeout);
     }
 
+    /** Waits with exponential backoff (50 ms to 1.6 s) if that ends before the goal time, else gives up. */
     private Decision waitOrGiveUp(Association association, long now) {
         long retryAt = now + (50 * MILLISECOND << Math.min(association.waitCount++, 5));
         UseCase useCase = useCases[association.useCase];
@@ -932,6 +933,7 @@
         }
     }
 
+    /** Applies one roster entry; true if the lookup table must be rebuilt. */
     private boolean applyRosterEntry(Backend backend, RosterEntry entry, long now) {
         // A faulty roster may omit running backends, so removal needs failed set-ups too. Else few would be left.
         boolean removed = backend.stage == Stage.READY && entry.stage() == Stage.GONE;
