--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -88,7 +88,7 @@
     private long completedConnectionsUpdatedAt; // the count has decayed up to this time
     private long observedSince; // since when completed connections are counted
     private double typicalSetUpTime; // moving average, 0 before the first set-up
-    private long setUpInterval; // between two set-ups during widespread set-up failures, else 0
+    private long setUpInterval; // between two set-ups while they are paced, else 0
     private long nextSetUpAt; // next time not yet reserved for a set-up
     // Sums over the ready backends, unless stated otherwise.
     private double effectiveWeightSum; // sum of weight times slow start factor
@@ -104,9 +104,9 @@
     private final LinkedHashSet<Backend> slowBackends = new LinkedHashSet<>(); // includes ones whose report has expired
     private final LinkedHashSet<Backend> recentlyTriedBackends = new LinkedHashSet<>(); // with recent set-up evidence
     private final ChangeTracker changeTracker = new ChangeTracker(); // changes since the last takeLearnedStateChanges
-    private long staleRosterSince; // when it started with a roster too old to show restarts; 0 once a new one came
+    private long staleRosterSince; // when it started with a roster too old to show restarts; 0 once a new one arrives
     private double restoredCompletionRate; // connections completed per nanosecond in the previous process
-    private boolean hasWidespreadSetUpFailures; // over half of the recently tried backends: a shared cause is assumed
+    private boolean hasWidespreadSetUpFailures; // many backends fail at once: a shared cause is assumed
 
     public Balancer(Map<String, String> settings, long seed, long now) {
         random = new SplittableRandom(seed);
