--- a/core/src/main/java/ambertrestle/decide/Association.java
+++ b/core/src/main/java/ambertrestle/decide/Association.java
@@ -1,81 +1,107 @@
 package ambertrestle.decide;
 
-/** One association as the client brought it, with the dispatches made for it. Times in nanoseconds. */
+/** A client's request for a connection, with the dispatches made for it. All times are in nanoseconds. */
 public final class Association {
-    /** What is known of a dispatch: still out, known not to have run, or it may have run. */
+    /** 2^64 divided by the golden ratio; spreads the pin keys of a group's subsets over all 64 bits. */
+    private static final long SUBSET_KEY_STEP = 0x9e3779b97f4a7c15L;
+
+    /** Whether a dispatch can have had an effect on its backend. */
     public enum DispatchState {
+        /** It has not ended yet. */
         IN_FLIGHT,
+        /** It ended and certainly had no effect. */
         NEVER_RAN,
+        /** It ended and may have had an effect. */
         MAY_HAVE_RUN
     }
 
+    /** Unique among the associations of a relay. */
     public final long id;
+
+    /** Index of the use case in the settings. */
     public final int useCase;
+
+    /** Index of the tenant. */
     public final int tenant;
-    /** The client key and the group key, unsigned; 0 where there is none. */
+
+    /** Key of the client, unsigned; 0 if it has none. */
     public final long clientKey;
 
+    /** Key of the group of clients that should share backends, unsigned; 0 if it belongs to no group. */
     public final long groupKey;
+
+    /** When the association is of no use any more. */
     public final long cutOffAt;
-    /** Its packets reached this relay while the connection was open. */
+
+    /** The connection was already open when its packets first reached this relay. */
     public final boolean isMidFlow;
-    /** The client is back after a break or a move. */
+    /** The client reconnects after its connection broke or was moved. */
     public final boolean isReconnect;
 
+    /** Number of dispatches so far; the three arrays below are valid up to this index. */
     public int dispatchCount;
+
+    /** Backend id of each dispatch. */
     public long[] sentTo = new long[4];
+    /** Time of each dispatch. */
     public long[] sentAt = new long[4];
+    /** State of each dispatch. */
     public DispatchState[] dispatchStates = new DispatchState[4];
-    /** Load of the connection in work a second (nanoseconds a second); 0 while unknown. */
+    /** Load of the connection in nanoseconds of work per second; 0 while unknown. */
     public double load;
 
+    /** A dispatch has led to an established connection. */
     public boolean established;
-    /** The final answer was given, or the end was learned. */
+
+    /** The final answer was given, or the association has ended. */
     public boolean closed;
-    /** Moved off its backend on this relay's wish. */
+    /** This relay asked the client to reconnect so that the connection leaves its backend. */
     public boolean moveRequested;
-    /** The time it was given while set-ups are paced; 0 while none. */
+    /** The set-up time reserved for it while set-ups are paced; 0 if none. */
     public long reservedSetUpAt;
-    /** Dispatches that met a backend which an old list still named; they count against no limit. */
+    /**
+     * Dispatches that failed because a stale roster listed a backend that is gone; they don't count against the limit.
+     */
     public int uncountedDispatches;
-    /** How often it was told to wait. */
+    /** Number of waits for an eligible backend so far; determines the backoff. */
     public int waitCount;
-    /** Which part of its group it belongs to. */
+    /** Index of the backend in the group's preference order to which the client is assigned; 0 is the first. */
     public int subsetIndex;
-    /** Its place in its backend's list of open connections; -1 while in none. */
+    /** Index in the backend's list of open connections; -1 if the connection is not open. */
     public int openConnectionIndex = -1;
 
     public Association(
             long id,
             int useCase,
             int tenant,
-            long client,
-            long group,
-            long cutOff,
+            long clientKey,
+            long groupKey,
+            long cutOffAt,
             double load,
-            boolean midFlow,
-            boolean returning) {
+            boolean isMidFlow,
+            boolean isReconnect) {
         this.id = id;
         this.useCase = useCase;
         this.tenant = tenant;
-        this.clientKey = client;
-        this.groupKey = group;
-        this.cutOffAt = cutOff;
+        this.clientKey = clientKey;
+        this.groupKey = groupKey;
+        this.cutOffAt = cutOffAt;
         this.load = load;
-        this.isMidFlow = midFlow;
-        this.isReconnect = returning;
+        this.isMidFlow = isMidFlow;
+        this.isReconnect = isReconnect;
     }
 
-    /** The key under which it is placed: the group's, else the client's. */
+    /** Returns the key that determines the placement: the group's key, or else the client's; 0 if there is neither. */
     public long placementKey() {
         return groupKey != 0 ? groupKey : clientKey;
     }
 
-    /** The key under which its part of the group is pinned. */
+    /** Returns the key of the association's pin. It differs by subset and is the placement key for subset 0. */
     public long pinKey() {
-        return placementKey() + subsetIndex * 0x9e3779b97f4a7c15L;
+        return placementKey() + subsetIndex * SUBSET_KEY_STEP;
     }
 
+    /** Returns whether a dispatch to this backend was made. */
     public boolean hasTried(long backend) {
         for (int d = 0; d < dispatchCount; d++) {
             if (sentTo[d] == backend) {
@@ -85,25 +111,26 @@
         return false;
     }
 
-    /** A dispatch is still out. */
+    /** Returns whether a dispatch has not ended yet. */
     public boolean hasDispatchInFlight() {
         return hasDispatchIn(DispatchState.IN_FLIGHT);
     }
 
-    /** Every dispatch so far is known not to have run. */
+    /** Returns whether all dispatches so far certainly had no effect. */
     public boolean noDispatchRan() {
         return !hasDispatchIn(DispatchState.IN_FLIGHT) && !hasDispatchIn(DispatchState.MAY_HAVE_RUN);
     }
 
-    private boolean hasDispatchIn(DispatchState wanted) {
+    private boolean hasDispatchIn(DispatchState state) {
         for (int d = 0; d < dispatchCount; d++) {
-            if (dispatchStates[d] == wanted) {
+            if (dispatchStates[d] == state) {
                 return true;
             }
         }
         return false;
     }
 
+    /** Appends a dispatch in flight. */
     public void recordDispatch(long backend, long now) {
         if (dispatchCount == sentTo.length) {
             sentTo = java.util.Arrays.copyOf(sentTo, dispatchCount * 2);
--- a/core/src/main/java/ambertrestle/decide/BalancingPolicy.java
+++ b/core/src/main/java/ambertrestle/decide/BalancingPolicy.java
@@ -4,51 +4,86 @@
 import java.util.Map;
 
 /**
- * What a relay asks of whoever decides, and tells it: three questions, else tell-methods. {@link Balancer} is the
- * module; others stand in its place only to be compared with it. One instance a relay, one thread. Times in
- * nanoseconds.
+ * Decides which backend gets which connection. A relay asks {@link #selectBackend}, {@link #onDispatchFinished} and
+ * {@link #pollDueActions} for decisions and reports everything else through the other methods. {@link Balancer} is the
+ * production implementation; others serve as baselines for comparison.
+ *
+ * <p>Each relay has one instance, which is used by one thread. All times are in nanoseconds. {@code now} is the time of
+ * the current batch of events.
  */
 public interface BalancingPolicy {
-    /** Makes one for a relay that starts: the job ticket, the instance's seed, the time. */
+    /** Creates the policy of a relay that starts. */
     interface Factory {
-        BalancingPolicy create(Map<String, String> jobTicket, long seed, long now);
+        /**
+         * @param settings the flat settings; invalid ones fail with an {@link IllegalArgumentException}
+         * @param seed seed of the policy's random numbers; equal seeds and equal calls give equal decisions
+         */
+        BalancingPolicy create(Map<String, String> settings, long seed, long now);
     }
 
-    /** Where to send this association, which has arrived or has waited as told. */
-    Decision selectBackend(Association a, long now);
+    /**
+     * Selects a backend for an association that has arrived, or that has waited until the time of a previous
+     * {@code WAIT} decision.
+     */
+    Decision selectBackend(Association association, long now);
 
-    /** What to do after this outcome of a dispatch; `finished`: the association is over. */
-    Decision onDispatchFinished(Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now);
+    /**
+     * Decides how to continue after a dispatch has ended.
+     *
+     * @param dispatch index of the dispatch within the association
+     * @param finished true if the association is over, so that no further dispatch is wanted
+     */
+    Decision onDispatchFinished(
+            Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now);
 
-    /** How long to wait before asking again, and the chores now due. */
+    /** Returns the actions that are due, and when to poll again. */
     DueActions pollDueActions(long now);
 
-    /** The roster, whole or changes only; `cached`: as this relay last had it, perhaps stale. */
-    void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now);
+    /**
+     * Applies a roster update.
+     *
+     * @param isComplete true if backends missing from {@code entries} are gone; false if it holds only changes
+     * @param isCached true if the roster was cached by this relay before a restart and may be stale
+     */
+    void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now);
 
+    /** Reports that a call to service discovery failed or its watch broke; a later poll asks for another call. */
     void onRosterCallFailed(long now);
 
-    /** An open connection that was passing through when this relay started. */
-    void onConnectionAdopted(Association a, long backend, long now);
+    /** Registers a connection to {@code backend} that was already open when this relay started. */
+    void onConnectionAdopted(Association association, long backend, long now);
 
-    void onConnectionEstablished(Association a, int dispatch, long took, long now);
+    /**
+     * Reports that the connection of a dispatch was established.
+     *
+     * @param dispatch index of the dispatch within the association
+     * @param setUpTime time from the dispatch until the connection was established
+     */
+    void onConnectionEstablished(Association association, int dispatch, long setUpTime, long now);
 
-    void onLoadReport(Association a, double load, long now);
+    /** Reports the load of an open connection, in nanoseconds of work per second. */
+    void onLoadReport(Association association, double load, long now);
 
+    /** Reports how long a message currently takes on {@code backend}. */
     void onDelayReport(long backend, long delay, long now);
 
-    void onClientDisconnected(Association a, long now);
+    /** Reports that the association has ended on the client's side; no outcome of its dispatch will be reported. */
+    void onClientDisconnected(Association association, long now);
 
     /**
-     * What it would keep beyond its process: at most so many values that changed since it was last asked. Others keep
-     * nothing.
+     * Returns learned state to persist: at most {@code maxChanges} backends and pins that changed since the last call.
+     * The default is for policies without learned state.
      */
-    default LearnedState takeLearnedStateChanges(int most, long now) {
+    default LearnedState takeLearnedStateChanges(int maxChanges, long now) {
         return LearnedState.EMPTY;
     }
 
     /**
-     * What an earlier process kept, weighed by its age, after the list; `unseen`: any backend of the list may be cold.
+     * Restores the learned state of an earlier process, after the first roster update. The values must already be
+     * decayed by their age.
+     *
+     * @param isRosterStale true if the roster is so old that any backend in it may have restarted since; all backends
+     *     are then treated as in slow start
      */
-    default void restoreLearnedState(LearnedState kept, boolean unseen, long now) {}
+    default void restoreLearnedState(LearnedState learnedState, boolean isRosterStale, long now) {}
 }
--- a/core/src/main/java/ambertrestle/decide/ChangeTracker.java
+++ b/core/src/main/java/ambertrestle/decide/ChangeTracker.java
@@ -6,17 +6,20 @@
 import java.util.List;
 
 /**
- * Which backends and pins changed since this was last asked; decides nothing. Until it is first asked nobody keeps
- * anything, and it costs nothing. It holds each backend and pin once, however often it changed, so a taker that is slow
- * costs no memory.
+ * Records which backends and pins changed since the changes were last taken, for incremental state snapshots. Recording
+ * starts with the first call of {@link #takeChanges}; a relay that doesn't persist its state never pays for it. Each
+ * backend and pin is held once however often it changes, so memory stays bounded if changes are taken slowly.
  */
 final class ChangeTracker {
+    /** Changed backends in order of their first change; null until changes are first taken. */
     private LinkedHashSet<Backend> changedBackends;
+
+    /** Changed tracking entries in order of their first change; null until changes are first taken. */
     private LinkedHashSet<TrackingEntry> changedEntries;
 
-    void markChanged(Backend b) {
+    void markChanged(Backend backend) {
         if (changedBackends != null) {
-            changedBackends.add(b);
+            changedBackends.add(backend);
         }
     }
 
@@ -26,18 +29,26 @@
         }
     }
 
-    /** The pin is in the table no more; always true. */
+    /** Records that the entry was removed from the tracking table. Always returns true, for use in a predicate. */
     boolean markRemoved(TrackingEntry entry) {
         entry.removed = true;
         markChanged(entry);
         return true;
     }
 
-    /** The first call begins with all that there is. Takes time for `most` values and no more. */
+    /**
+     * Takes up to {@code maxChanges} changes, backends first; the first call starts with every backend and entry. Apart
+     * from that first call, the time is bounded by {@code maxChanges}, not by the size of the state.
+     *
+     * @param tableFormat identifies the lookup table's format, see {@link LearnedState}
+     * @param relayStatistics relay-wide values, passed through unchanged
+     * @param backends all backends, read by the first call only
+     * @param entries all tracking entries, read by the first call only
+     */
     LearnedState takeChanges(
-            int most,
-            long table,
-            LearnedState.RelayStatistics whole,
+            int maxChanges,
+            long tableFormat,
+            LearnedState.RelayStatistics relayStatistics,
             Iterable<Backend> backends,
             Iterable<TrackingEntry> entries) {
         if (changedBackends == null) {
@@ -46,15 +57,25 @@
             backends.forEach(changedBackends::add);
             entries.forEach(changedEntries::add);
         }
-        List<LearnedState.BackendStatistics> some = new ArrayList<>(Math.min(most, changedBackends.size()));
-        for (Iterator<Backend> i = changedBackends.iterator(); i.hasNext() && some.size() < most; i.remove()) {
-            some.add(i.next().toStatistics());
+        List<LearnedState.BackendStatistics> backendStatistics =
+                new ArrayList<>(Math.min(maxChanges, changedBackends.size()));
+        for (Iterator<Backend> iterator = changedBackends.iterator();
+                iterator.hasNext() && backendStatistics.size() < maxChanges;
+                iterator.remove()) {
+            backendStatistics.add(iterator.next().toStatistics());
         }
-        int left = most - some.size();
-        List<LearnedState.Pin> pinned = new ArrayList<>(Math.min(left, changedEntries.size()));
-        for (Iterator<TrackingEntry> i = changedEntries.iterator(); i.hasNext() && pinned.size() < left; i.remove()) {
-            pinned.add(i.next().toPin());
+        int remaining = maxChanges - backendStatistics.size();
+        List<LearnedState.Pin> pins = new ArrayList<>(Math.min(remaining, changedEntries.size()));
+        for (Iterator<TrackingEntry> iterator = changedEntries.iterator();
+                iterator.hasNext() && pins.size() < remaining;
+                iterator.remove()) {
+            pins.add(iterator.next().toPin());
         }
-        return new LearnedState(table, whole, some, pinned, !changedBackends.isEmpty() || !changedEntries.isEmpty());
+        return new LearnedState(
+                tableFormat,
+                relayStatistics,
+                backendStatistics,
+                pins,
+                !changedBackends.isEmpty() || !changedEntries.isEmpty());
     }
 }
--- a/core/src/main/java/ambertrestle/decide/Decision.java
+++ b/core/src/main/java/ambertrestle/decide/Decision.java
@@ -1,16 +1,18 @@
 package ambertrestle.decide;
 
-/** What is to happen with an association: plain value, made by the module. Times in nanoseconds. */
+/** What a relay has to do with an association. */
 public final class Decision {
-    /**
-     * SEND to backend within time; WAIT until time; SHED, the client may come back after time; FORFEIT; or NOTHING: it
-     * has its answer, or a dispatch is still out.
-     */
+    /** The kind of decision; it determines the meaning of {@link #time}. */
     public enum Kind {
+        /** Dispatch to {@link #backend}; the connection must be established within {@link #time}. */
         SEND,
+        /** Ask again at {@link #time}. */
         WAIT,
+        /** Reject the association; the client may safely repeat it. */
         SHED,
+        /** Give up the association; a dispatch may have had an effect, so repeating it is not safe. */
         FORFEIT,
+        /** Nothing to do: the final answer was already given, or a dispatch is still in flight. */
         NOTHING
     }
 
@@ -18,7 +20,12 @@
     public static final Decision FORFEIT = new Decision(Kind.FORFEIT, 0, 0);
 
     public final Kind kind;
+    /** Id of the backend of a {@code SEND}; 0 otherwise. */
     public final long backend;
+    /**
+     * Nanoseconds. {@code SEND}: the time-out of the dispatch, as a duration; {@code WAIT}: a point in time;
+     * {@code SHED}: how long the client has to wait before it repeats, 0 if it isn't told; 0 otherwise.
+     */
     public final long time;
 
     public Decision(Kind kind, long backend, long time) {
--- a/core/src/main/java/ambertrestle/decide/LearnedState.java
+++ b/core/src/main/java/ambertrestle/decide/LearnedState.java
@@ -3,9 +3,14 @@
 import java.util.List;
 
 /**
- * What the module would keep beyond its process, as plain values: a part of what changed since it was last asked, or
- * all of it. `table`: how its Maglev table is made; pins of another table mean nothing here. `more`: there is more that
- * changed. Times in nanoseconds.
+ * Learned state of a balancer that outlives its process: a complete state, or a batch of changes. All times are in
+ * nanoseconds.
+ *
+ * @param tableFormat identifies how the lookup table (Maglev) is built; pins of another format are not restored
+ * @param relayStatistics relay-wide values; complete in each batch
+ * @param backends statistics of backends, only the changed ones in a batch
+ * @param pins pins of keys to backends, only the changed ones in a batch
+ * @param hasMore true if further changes are waiting to be taken
  */
 public record LearnedState(
         long tableFormat,
@@ -16,9 +21,15 @@
     public static final LearnedState EMPTY = new LearnedState(0, RelayStatistics.EMPTY, List.of(), List.of(), false);
 
     /**
-     * Of the relay as a whole. `ended`: connections that lived to their end, decaying, as counted over `lived`;
-     * `setUp`: a usual set-up; `usual`: the load of a usual connection, learned from `notes`; `pace`: the time between
-     * two set-ups in a jam.
+     * Relay-wide values.
+     *
+     * @param completedConnections exponentially decaying count of connections that ended normally
+     * @param observedFor the period over which they were counted, in nanoseconds
+     * @param typicalSetUpTime moving average of the set-up time, in nanoseconds
+     * @param typicalLoad moving average of a connection's load, in nanoseconds of work per second
+     * @param loadReportCount number of load reports that {@code typicalLoad} is based on
+     * @param setUpInterval minimum time between two set-ups during widespread set-up failures, in nanoseconds; 0 if
+     *     set-ups are not paced
      */
     public record RelayStatistics(
             double completedConnections,
@@ -31,8 +42,17 @@
     }
 
     /**
-     * Of one backend, started at `startedAt`: the counts of doubt as they stood at `evidenceAt`, its lateness, and when
-     * this relay heard that it drains or is gone (0 while neither).
+     * Statistics of one backend.
+     *
+     * @param backend id of the backend
+     * @param startedAt when the backend started, as the roster gave it; statistics of an earlier start don't apply
+     * @param evidenceUpdatedAt the time to which the three counts have been decayed
+     * @param successes decaying count of established connections
+     * @param failures decaying count of failures
+     * @param sharedCauseFailures decaying count of failures that a shared dependency, such as a store, may have caused
+     * @param reportedDelay how long a message last took, in nanoseconds; 0 if not long
+     * @param delayReportedAt when that delay was reported
+     * @param drainNoticedAt when this relay learned that the backend drains or is gone; 0 if neither
      */
     public record BackendStatistics(
             long backend,
@@ -46,9 +66,16 @@
             long drainNoticedAt) {}
 
     /**
-     * Where a key is pinned, and when its last connection ended there: OPEN while one is open, GONE where the pin went.
+     * A pin of a key to a backend.
+     *
+     * @param key the key, unsigned
+     * @param backend id of the backend; 0 if the pin was removed
+     * @param unusedSince when the key's last connection ended, in nanoseconds, or {@link #IN_USE} or {@link #REMOVED}
      */
     public record Pin(long key, long backend, long unusedSince) {
-        public static final long IN_USE = Long.MAX_VALUE, REMOVED = Long.MIN_VALUE;
+        /** The key has an open connection. */
+        public static final long IN_USE = Long.MAX_VALUE;
+        /** The pin was removed. */
+        public static final long REMOVED = Long.MIN_VALUE;
     }
 }
--- a/core/src/main/java/ambertrestle/decide/Settings.java
+++ b/core/src/main/java/ambertrestle/decide/Settings.java
@@ -2,12 +2,16 @@
 
 import java.util.Map;
 
-/** Reads values of the job ticket, which is a plain map; says by name what is missing or malformed. */
+/**
+ * Typed access to the settings, a flat map of names to texts. Missing or malformed values fail with an
+ * {@link IllegalArgumentException} that names the setting.
+ */
 final class Settings {
     private Settings() {}
 
-    static double getDouble(Map<String, String> jobTicket, String name) {
-        String value = getString(jobTicket, name);
+    /** Returns a required number. */
+    static double getDouble(Map<String, String> settings, String name) {
+        String value = getString(settings, name);
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
@@ -15,28 +19,34 @@
         }
     }
 
-    /** False where it is not there. */
-    static boolean getBoolean(Map<String, String> jobTicket, String name) {
-        return jobTicket.containsKey(name)
-                && getString(jobTicket, name, "true", "false").equals("true");
+    /**
+     * Returns a boolean; false if the setting is missing. Fails on any other text than {@code true} or {@code false}.
+     */
+    static boolean getBoolean(Map<String, String> settings, String name) {
+        return settings.containsKey(name)
+                && getString(settings, name, "true", "false").equals("true");
     }
 
-    static double getDoubleOrDefault(Map<String, String> jobTicket, String name, double otherwise) {
-        return jobTicket.containsKey(name) ? getDouble(jobTicket, name) : otherwise;
+    /** Returns a number, or {@code defaultValue} if the setting is missing. */
+    static double getDoubleOrDefault(Map<String, String> settings, String name, double defaultValue) {
+        return settings.containsKey(name) ? getDouble(settings, name) : defaultValue;
     }
 
-    static String getString(Map<String, String> jobTicket, String name, String... known) {
-        String value = jobTicket.get(name);
-        if (value == null || known.length > 0 && !java.util.Arrays.asList(known).contains(value)) {
+    /** Returns a required text, which must be one of {@code allowedValues} if any are given. */
+    static String getString(Map<String, String> settings, String name, String... allowedValues) {
+        String value = settings.get(name);
+        if (value == null
+                || allowedValues.length > 0
+                        && !java.util.Arrays.asList(allowedValues).contains(value)) {
             throw new IllegalArgumentException(
                     "job ticket: " + name + (value == null ? " is missing" : " is not known: " + value));
         }
         return value;
     }
 
-    /** Several numbers with commas between; none where it is not there. */
-    static double[] getDoubles(Map<String, String> jobTicket, String name) {
-        String value = jobTicket.getOrDefault(name, "");
+    /** Returns a comma-separated list of numbers; empty if the setting is missing. */
+    static double[] getDoubles(Map<String, String> settings, String name) {
+        String value = settings.getOrDefault(name, "");
         try {
             return value.isEmpty()
                     ? new double[0]
--- a/core/src/main/java/ambertrestle/decide/TrackingEntry.java
+++ b/core/src/main/java/ambertrestle/decide/TrackingEntry.java
@@ -2,26 +2,35 @@
 
 import java.util.ArrayList;
 
-/** Where a key's established connections are: the server recorded last, and those open now. Kept by the module. */
+/**
+ * An entry of the tracking table: the backend that a key is pinned to and the key's open connections. A key that was
+ * split into subsets has an additional entry for each subset, which only holds the pin.
+ */
 final class TrackingEntry {
+    /** The placement key, or the pin key of a subset; unsigned. */
     final long key;
+
+    /** The backend of the connection established last; null if the key has no pin. */
     Backend pinnedBackend;
+
     final ArrayList<Association> openConnections = new ArrayList<>(2);
+    /** When a connection of the key last ended, in nanoseconds; 0 if none has ended yet. */
     long unusedSince;
-    /** It is in the tracking table no more. */
+
+    /** True once the entry was removed from the tracking table. */
     boolean removed;
 
     TrackingEntry(long key) {
         this.key = key;
     }
 
-    /** What of it outlives this process. */
+    /** Returns the part of this entry that is persisted. */
     LearnedState.Pin toPin() {
-        boolean none = removed || pinnedBackend == null;
+        boolean isUnpinned = removed || pinnedBackend == null;
         return new LearnedState.Pin(
                 key,
-                none ? 0 : pinnedBackend.id,
-                none
+                isUnpinned ? 0 : pinnedBackend.id,
+                isUnpinned
                         ? LearnedState.Pin.REMOVED
                         : openConnections.isEmpty() && unusedSince > 0 ? unusedSince : LearnedState.Pin.IN_USE);
     }
--- a/core/src/main/java/ambertrestle/decide/UseCase.java
+++ b/core/src/main/java/ambertrestle/decide/UseCase.java
@@ -3,15 +3,27 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What the job ticket says of one use case. In nanoseconds; scope and window for fingerprinted ones. */
+/**
+ * The settings of one use case.
+ *
+ * @param goalTime time in nanoseconds from arrival within which the connection should be established
+ * @param cutOff time in nanoseconds from arrival after which the association is of no use any more
+ * @param effect whether a dispatch that may have run may be repeated
+ * @param scope the backends that recognize each other's duplicates; {@code NONE} unless the effect is fingerprinted
+ * @param deduplicationWindow how long duplicates are recognized, in nanoseconds; 0 unless the effect is fingerprinted
+ */
 public record UseCase(long goalTime, long cutOff, Effect effect, DeduplicationScope scope, long deduplicationWindow) {
+    /** Which repeats of a dispatch are safe. */
     public enum Effect {
+        /** Idempotent: may be repeated on any backend at any time. */
         RETRIABLE,
+        /** May be repeated within the deduplication scope and window, where duplicates are discarded. */
         FINGERPRINTED,
+        /** At most once: may only be repeated if no earlier dispatch ran. */
         BINDING
     }
 
-    /** The backends that discard each other's repeats. */
+    /** The group of backends that discard each other's duplicates. */
     public enum DeduplicationScope {
         NONE,
         ALL,
@@ -19,19 +31,21 @@
         CELL
     }
 
-    public static UseCase fromSettings(Map<String, String> jobTicket, String of) {
-        Effect effect =
-                Effect.valueOf(Settings.getString(jobTicket, of + "effect", "retriable", "fingerprinted", "binding")
+    /** Reads the use case whose settings start with {@code keyPrefix}, for example {@code useCases.0.}. */
+    public static UseCase fromSettings(Map<String, String> settings, String keyPrefix) {
+        Effect effect = Effect.valueOf(
+                Settings.getString(settings, keyPrefix + "effect", "retriable", "fingerprinted", "binding")
                         .toUpperCase(Locale.ROOT));
-        boolean marked = effect == Effect.FINGERPRINTED;
+        boolean isFingerprinted = effect == Effect.FINGERPRINTED;
         return new UseCase(
-                (long) Settings.getDouble(jobTicket, of + "goalTime"),
-                (long) Settings.getDouble(jobTicket, of + "cutOff"),
+                (long) Settings.getDouble(settings, keyPrefix + "goalTime"),
+                (long) Settings.getDouble(settings, keyPrefix + "cutOff"),
                 effect,
-                marked
-                        ? DeduplicationScope.valueOf(Settings.getString(jobTicket, of + "scope", "all", "zone", "cell")
-                                .toUpperCase(Locale.ROOT))
+                isFingerprinted
+                        ? DeduplicationScope.valueOf(
+                                Settings.getString(settings, keyPrefix + "scope", "all", "zone", "cell")
+                                        .toUpperCase(Locale.ROOT))
                         : DeduplicationScope.NONE,
-                marked ? (long) Settings.getDouble(jobTicket, of + "window") : 0);
+                isFingerprinted ? (long) Settings.getDouble(settings, keyPrefix + "window") : 0);
     }
 }
--- a/core/src/main/java/ambertrestle/restore/LearnedStateDecay.java
+++ b/core/src/main/java/ambertrestle/restore/LearnedStateDecay.java
@@ -8,91 +8,107 @@
 import java.util.List;
 
 /**
- * What kept judgments are still worth: pure functions of their age, nothing else. A judgment weighs what it would in a
- * relay that had gone on and heard nothing more, so each kind fades as the module lets it fade; what a fleet carries is
- * no judgment of a moment and fades over hours. Times in nanoseconds.
+ * Decays persisted learned state by its age. Health evidence and pins lose weight as they would in a relay that had
+ * kept running without receiving anything new, so the constants match those of the balancer. Traffic statistics change
+ * slowly and decay over hours. All functions are pure; all times are in nanoseconds.
  */
 public final class LearnedStateDecay {
-    private static final long SECOND = 1_000_000_000L, HOUR = 3_600 * SECOND;
-    /** The module's own: evidence of failures halves in this time, and so does the space between set-ups. */
+    private static final long SECOND = 1_000_000_000L;
+    private static final long HOUR = 3_600 * SECOND;
+
+    /** Same half-life as in the balancer; also applied to the interval between paced set-ups. */
     private static final long FAILURE_EVIDENCE_HALF_LIFE = 4 * SECOND;
-    /** As long as the module remembers lateness with nothing left to tell, at the most. */
+
+    /** The longest time that the balancer remembers a slow backend without open connections there. */
     private static final long DELAY_LIFETIME = 30 * SECOND;
-    /** As long as the module keeps a pin after its last connection. */
+
+    /** How long the balancer keeps a pin after the key's last connection ended. */
     private static final long PIN_LIFETIME = 60 * SECOND;
 
-    private static final long TRAFFIC_STATISTICS_HALF_LIFE = HOUR, TRAFFIC_STATISTICS_LIFETIME = 24 * HOUR;
-    /** Less than this is nothing. */
+    private static final long TRAFFIC_STATISTICS_HALF_LIFE = HOUR;
+    private static final long TRAFFIC_STATISTICS_LIFETIME = 24 * HOUR;
+
+    /** Smaller weights are rounded to 0. */
     private static final double MIN_WEIGHT = 1.0 / 256;
 
     private LearnedStateDecay() {}
 
-    private static double decayFactor(long age, long half) {
-        double left = age < 0 ? 0 : StrictMath.pow(0.5, (double) age / half);
-        return left < MIN_WEIGHT ? 0 : left;
+    /** Returns the exponential decay factor for an age; 0 for a negative age. */
+    private static double decayFactor(long age, long halfLife) {
+        double weight = age < 0 ? 0 : StrictMath.pow(0.5, (double) age / halfLife);
+        return weight < MIN_WEIGHT ? 0 : weight;
     }
 
-    /** Of the counts of set-ups that stood and that failed, and of the pace of set-ups in a jam. */
+    /** Returns the weight, from 0 to 1, of success and failure counts and of the interval between paced set-ups. */
     public static double failureEvidenceWeight(long age) {
         return decayFactor(age, FAILURE_EVIDENCE_HALF_LIFE);
     }
 
-    /** Of a told delay: whole or nothing, as it is a bound and no count. */
+    /** Returns the weight of a reported delay: 1 or 0, because a delay is compared with a bound and not accumulated. */
     public static double delayWeight(long age) {
         return age >= 0 && age < DELAY_LIFETIME ? 1 : 0;
     }
 
-    /** Of what connections lived to their end here, of usual set-ups and loads. */
+    /** Returns the weight, from 0 to 1, of the count of completed connections and of typical set-up times and loads. */
     public static double trafficStatisticsWeight(long age) {
         return age >= TRAFFIC_STATISTICS_LIFETIME ? 0 : decayFactor(age, TRAFFIC_STATISTICS_HALF_LIFE);
     }
 
-    /** Of where a key was pinned. */
+    /** Returns the weight of a pin: 1 or 0. */
     public static double pinWeight(long age) {
         return age >= 0 && age < PIN_LIFETIME ? 1 : 0;
     }
 
     /**
-     * All of it, as the module takes it back now. `keptAt`: when it was kept. Danger: what comes from the future, since
-     * a clock went back, has no age; it would never fade, so nothing of it is taken.
+     * Decays a complete state for a balancer that restores it now. State from the future, which a clock that was set
+     * back causes, is dropped entirely: without a valid age it would never decay.
+     *
+     * @param persistedAt when the state was persisted
      */
-    public static LearnedState decay(LearnedState kept, long keptAt, long now) {
-        if (keptAt > now) {
+    public static LearnedState decay(LearnedState persisted, long persistedAt, long now) {
+        if (persistedAt > now) {
             return LearnedState.EMPTY;
         }
-        RelayStatistics w = kept.relayStatistics();
-        long age = now - keptAt;
-        double carried = trafficStatisticsWeight(age);
-        RelayStatistics whole = new RelayStatistics(
-                w.completedConnections() * carried,
-                w.observedFor(),
-                w.typicalSetUpTime() * carried,
-                w.typicalLoad() * carried,
-                (int) (w.loadReportCount() * carried),
-                (long) (w.setUpInterval() * failureEvidenceWeight(age)));
-        List<BackendStatistics> judged = new ArrayList<>(kept.backends().size());
-        for (BackendStatistics j : kept.backends()) {
-            double doubt = failureEvidenceWeight(now - j.evidenceUpdatedAt());
-            boolean late = delayWeight(now - j.delayReportedAt()) > 0;
-            judged.add(new BackendStatistics(
-                    j.backend(),
-                    j.startedAt(),
+        RelayStatistics relayStatistics = persisted.relayStatistics();
+        long age = now - persistedAt;
+        double trafficWeight = trafficStatisticsWeight(age);
+        RelayStatistics decayedRelayStatistics = new RelayStatistics(
+                relayStatistics.completedConnections() * trafficWeight,
+                relayStatistics.observedFor(),
+                relayStatistics.typicalSetUpTime() * trafficWeight,
+                relayStatistics.typicalLoad() * trafficWeight,
+                (int) (relayStatistics.loadReportCount() * trafficWeight),
+                (long) (relayStatistics.setUpInterval() * failureEvidenceWeight(age)));
+        List<BackendStatistics> decayedBackends =
+                new ArrayList<>(persisted.backends().size());
+        for (BackendStatistics backend : persisted.backends()) {
+            double evidenceWeight = failureEvidenceWeight(now - backend.evidenceUpdatedAt());
+            boolean isDelayRecent = delayWeight(now - backend.delayReportedAt()) > 0;
+            decayedBackends.add(new BackendStatistics(
+                    backend.backend(),
+                    backend.startedAt(),
                     now,
-                    j.successes() * doubt,
-                    j.failures() * doubt,
-                    j.sharedCauseFailures() * doubt,
-                    late ? j.reportedDelay() : 0,
-                    late ? j.delayReportedAt() : Long.MIN_VALUE / 2,
-                    j.drainNoticedAt() > now ? 0 : j.drainNoticedAt()));
+                    backend.successes() * evidenceWeight,
+                    backend.failures() * evidenceWeight,
+                    backend.sharedCauseFailures() * evidenceWeight,
+                    isDelayRecent ? backend.reportedDelay() : 0,
+                    isDelayRecent ? backend.delayReportedAt() : Long.MIN_VALUE / 2,
+                    backend.drainNoticedAt() > now ? 0 : backend.drainNoticedAt()));
         }
-        List<Pin> pins = new ArrayList<>();
-        for (Pin p : kept.pins()) {
-            // What was open when it was kept ended with the process, then at the earliest.
-            long at = p.unusedSince() == Pin.IN_USE ? keptAt : p.unusedSince();
-            if (p.unusedSince() != Pin.REMOVED && pinWeight(now - at) > 0) {
-                pins.add(new Pin(p.key(), p.backend(), at));
+        List<Pin> restoredPins = new ArrayList<>();
+        for (Pin pin : persisted.pins()) {
+            // Connections that were open when the state was persisted ended later, with the process. When exactly is
+            // unknown, so their pins age from persistedAt, the earliest possible time.
+            long unusedSince = pin.unusedSince() == Pin.IN_USE ? persistedAt : pin.unusedSince();
+            if (pin.unusedSince() != Pin.REMOVED && pinWeight(now - unusedSince) > 0) {
+                restoredPins.add(new Pin(pin.key(), pin.backend(), unusedSince));
             }
         }
-        return new LearnedState(kept.tableFormat(), whole, List.copyOf(judged), List.copyOf(pins), false);
+        return new LearnedState(
+                persisted.tableFormat(),
+                decayedRelayStatistics,
+                List.copyOf(decayedBackends),
+                List.copyOf(restoredPins),
+                false);
     }
 }
--- a/core/src/main/java/ambertrestle/settings/SettingsParser.java
+++ b/core/src/main/java/ambertrestle/settings/SettingsParser.java
@@ -4,8 +4,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Turns the settings that both hosts are given into the job ticket: house names, times in nanoseconds. */
+/**
+ * Translates the settings as operators write them into the flat map that the decisions read. Names become the internal
+ * ones; a name that ends in {@code Us} loses that suffix and its value is converted from microseconds to nanoseconds.
+ * Used by the relay configuration and by the simulator host.
+ */
 public final class SettingsParser {
+    private static final int NANOS_PER_MICRO = 1000;
+
+    /** Internal names by the last part of the operators' names; other parts stay as they are. */
     private static final Map<String, String> INTERNAL_NAMES = Map.of(
             "repeat",
             "effect",
@@ -21,57 +28,68 @@
             "effects",
             "streaming",
             "streams");
+
+    /** Internal values of the setting {@code repeat}. */
     private static final Map<String, String> INTERNAL_EFFECTS =
             Map.of("idempotent", "retriable", "deduplicated", "fingerprinted", "at_most_once", "binding");
 
     private SettingsParser() {}
 
-    public static Map<String, String> parse(byte[] text) {
-        Map<String, String> ticket = new HashMap<>();
-        String all = new String(text, StandardCharsets.UTF_8);
-        for (int from = 0; from < all.length(); ) {
-            int end = all.indexOf('\n', from);
-            end = end < 0 ? all.length() : end;
-            int sign = all.indexOf('=', from);
-            if (sign > from && sign < end) {
+    /** Parses UTF-8 text with one {@code name=value} per line; lines without a name or an equals sign are ignored. */
+    public static Map<String, String> parse(byte[] utf8) {
+        Map<String, String> settings = new HashMap<>();
+        String text = new String(utf8, StandardCharsets.UTF_8);
+        for (int lineStart = 0; lineStart < text.length(); ) {
+            int lineEnd = text.indexOf('\n', lineStart);
+            lineEnd = lineEnd < 0 ? text.length() : lineEnd;
+            int equalsSign = text.indexOf('=', lineStart);
+            if (equalsSign > lineStart && equalsSign < lineEnd) {
                 putSetting(
-                        ticket,
-                        all.substring(from, sign),
-                        all.substring(sign + 1, end).strip());
+                        settings,
+                        text.substring(lineStart, equalsSign),
+                        text.substring(equalsSign + 1, lineEnd).strip());
             }
-            from = end + 1;
+            lineStart = lineEnd + 1;
         }
-        return ticket;
+        return settings;
     }
 
-    /** One setting by its path, as the operators name it. */
-    public static void putSetting(Map<String, String> ticket, String name, String value) {
-        String house = name.startsWith("guarantees.") ? "rules." + name.substring(11) : name;
-        String in = value;
-        if (house.endsWith("Us")) {
-            house = house.substring(0, house.length() - 2);
-            in = microsToNanos(value);
+    /** Translates one setting, named by its dotted path as operators write it, and adds it to the map. */
+    public static void putSetting(Map<String, String> settings, String name, String value) {
+        // 11 is the length of the prefix "guarantees.".
+        String internalName = name.startsWith("guarantees.") ? "rules." + name.substring(11) : name;
+        String internalValue = value;
+        if (internalName.endsWith("Us")) {
+            internalName = internalName.substring(0, internalName.length() - 2);
+            internalValue = microsToNanos(value);
         }
-        int dot = house.lastIndexOf('.');
-        String last = house.substring(dot + 1);
-        house = house.substring(0, dot + 1) + INTERNAL_NAMES.getOrDefault(last, last);
-        ticket.put(house, last.equals("repeat") ? INTERNAL_EFFECTS.getOrDefault(in, in) : in);
+        int lastDot = internalName.lastIndexOf('.');
+        String lastSegment = internalName.substring(lastDot + 1);
+        internalName = internalName.substring(0, lastDot + 1) + INTERNAL_NAMES.getOrDefault(lastSegment, lastSegment);
+        settings.put(
+                internalName,
+                lastSegment.equals("repeat")
+                        ? INTERNAL_EFFECTS.getOrDefault(internalValue, internalValue)
+                        : internalValue);
     }
 
-    /** One number or several with commas between, from microseconds; what is no number stays as it is. */
+    /**
+     * Converts one number, or several separated by commas, from microseconds to nanoseconds. Parts that are not numbers
+     * stay as they are, so that the reader of the setting reports them.
+     */
     private static String microsToNanos(String value) {
-        StringBuilder out = new StringBuilder();
-        for (int from = 0; from <= value.length(); ) {
-            int end = value.indexOf(',', from);
-            end = end < 0 ? value.length() : end;
-            String part = value.substring(from, end);
+        StringBuilder nanos = new StringBuilder();
+        for (int partStart = 0; partStart <= value.length(); ) {
+            int partEnd = value.indexOf(',', partStart);
+            partEnd = partEnd < 0 ? value.length() : partEnd;
+            String part = value.substring(partStart, partEnd);
             try {
-                out.append(from == 0 ? "" : ",").append(Math.round(Double.parseDouble(part) * 1000));
+                nanos.append(partStart == 0 ? "" : ",").append(Math.round(Double.parseDouble(part) * NANOS_PER_MICRO));
             } catch (NumberFormatException e) {
-                out.append(part);
+                nanos.append(part);
             }
-            from = end + 1;
+            partStart = partEnd + 1;
         }
-        return out.toString();
+        return nanos.toString();
     }
 }
