--- a/relay/src/main/java/ambertrestle/relay/wire/Address.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/Address.java
@@ -1,6 +1,6 @@
 package ambertrestle.relay.wire;
 
-/** Where something listens. */
+/** A TCP address; `host` is a host name or an IP address. Its text form is `host:port`. */
 public record Address(String host, int port) {
     @Override
     public String toString() {
--- a/relay/src/main/java/ambertrestle/relay/wire/BackendMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/BackendMessage.java
@@ -1,24 +1,32 @@
 package ambertrestle.relay.wire;
 
-/** A backend's line, decoded once. `raw` is the line as it came, with its end. */
+/** A decoded line from a backend. */
 public sealed interface BackendMessage {
+    /** The line as received, including its CRLF. */
     byte[] raw();
 
+    /** The backend accepted the connection. */
     record Up(byte[] raw) implements BackendMessage {}
 
+    /** The backend has no capacity for the connection. */
     record Busy(byte[] raw) implements BackendMessage {}
 
+    /** The backend ends the connection normally. */
     record Bye(byte[] raw) implements BackendMessage {}
 
+    /** The backend ends the connection, for example because it drains, and asks the client to reconnect. */
     record Move(byte[] raw) implements BackendMessage {}
 
+    /** The backend reports an error. */
     record Err(byte[] raw) implements BackendMessage {}
 
-    /** The load of the connection in the settings' unit: microseconds of work a second. */
+    /** The load of the connection, in microseconds of work per second. */
     record Load(byte[] raw, double microsPerSecond) implements BackendMessage {}
 
+    /** Any other line, including a LOAD whose value is malformed or out of range. */
     record Payload(byte[] raw) implements BackendMessage {}
 
+    /** Decodes a line that ends in CRLF. Never fails: a line that is not recognized becomes a {@link Payload}. */
     static BackendMessage decode(byte[] raw) {
         String line = LineDecoder.decodeText(raw);
         int space = line.indexOf(' ');
--- a/relay/src/main/java/ambertrestle/relay/wire/ClientMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/ClientMessage.java
@@ -5,11 +5,26 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** A client's line, decoded once. `raw` is the line as it came, with its end. */
+/** A decoded line from a client. */
 public sealed interface ClientMessage {
+    /** The line as received, including its CRLF. */
     byte[] raw();
 
-    /** The first line of a connection; `millis` is -1 where not said. */
+    /**
+     * A valid OPEN line: `OPEN id clientKey key=value,...`. It is the first line of a connection, except after a PING.
+     *
+     * @param id id of the association, unsigned
+     * @param clientKey key of the client, unsigned; 0 if it has none
+     * @param useCase index into {@link ConfiguredNames#useCases}
+     * @param tenant index into {@link ConfiguredNames#tenants}; 0 if no tenants are configured
+     * @param timeoutMillis how long the client waits for an answer, in milliseconds; -1 if the line has no `d`
+     * @param groupKey key of the client's group, unsigned; 0 if it has none
+     * @param loadEstimate expected load of the connection, in microseconds of work per second; 0 if unknown
+     * @param currentBackend name of the backend that already holds the connection; null if there is none
+     * @param isMidFlow true if packets of an open connection reached this relay
+     * @param isReconnect true if the client returns after its connection broke or was moved
+     * @param parameters the key-value pairs of the last field, in their original order
+     */
     record OpenRequest(
             byte[] raw,
             long id,
@@ -24,35 +39,47 @@
             boolean isReconnect,
             Map<String, String> parameters)
             implements ClientMessage {
-        /** The line that goes on to a backend: as it came, but for how long this relay waits. */
-        public byte[] encodeForBackend(long millis) {
+        /**
+         * Encodes the OPEN line for a backend. It equals the client's line, except that the value of `d`, if present,
+         * is replaced by the time that this relay waits for the backend, in milliseconds.
+         */
+        public byte[] encodeForBackend(long dispatchTimeoutMillis) {
             String line = LineDecoder.decodeText(raw);
             StringBuilder out = new StringBuilder(line.substring(0, line.lastIndexOf(' ')));
-            char between = ' ';
-            for (Map.Entry<String, String> pair : parameters.entrySet()) {
-                out.append(between)
-                        .append(pair.getKey())
+            char separator = ' ';
+            for (Map.Entry<String, String> parameter : parameters.entrySet()) {
+                out.append(separator)
+                        .append(parameter.getKey())
                         .append('=')
-                        .append(pair.getKey().equals("d") ? Long.toString(millis) : pair.getValue());
-                between = ',';
+                        .append(
+                                parameter.getKey().equals("d")
+                                        ? Long.toString(dispatchTimeoutMillis)
+                                        : parameter.getValue());
+                separator = ',';
             }
             return out.append("\r\n").toString().getBytes(StandardCharsets.UTF_8);
         }
     }
 
-    /** Asks whether this relay serves. */
+    /** A health check: the client asks whether this relay accepts connections. */
     record Ping(byte[] raw) implements ClientMessage {}
 
-    /** Any other line: fine once a connection is up, which it passes unread. */
+    /** Any other line. It is valid only after OPEN; once the connection is up, it is forwarded unchanged. */
     record Payload(byte[] raw) implements ClientMessage {}
 
-    /** An opening that is not one. */
+    /** An OPEN line that breaks the protocol. */
     record MalformedOpenRequest(byte[] raw, ProtocolViolation violation) implements ClientMessage {}
 
-    Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}"),
-            MILLIS = Pattern.compile("\\d{1,9}"),
-            LOAD_ESTIMATE = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+    /** An unsigned number of up to 64 bits in hexadecimal. */
+    Pattern HEX_PATTERN = Pattern.compile("[0-9a-fA-F]{1,16}");
 
+    /** A duration in milliseconds. */
+    Pattern MILLIS_PATTERN = Pattern.compile("\\d{1,9}");
+
+    /** A load in microseconds of work per second, without sign or exponent. */
+    Pattern LOAD_ESTIMATE_PATTERN = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+
+    /** Decodes a line that ends in CRLF. Never fails: an invalid OPEN becomes a {@link MalformedOpenRequest}. */
     static ClientMessage decode(byte[] raw, ConfiguredNames names) {
         String line = LineDecoder.decodeText(raw);
         if (line.equals("PING")) {
@@ -61,50 +88,52 @@
         if (!line.startsWith("OPEN ")) {
             return new Payload(raw);
         }
-        String[] words = line.split(" ", -1);
-        if (words.length != 4) {
+        String[] fields = line.split(" ", -1);
+        if (fields.length != 4) {
             return new MalformedOpenRequest(raw, ProtocolViolation.WRONG_FIELD_COUNT);
         }
-        if (!matches(HEX, words[1]) || !matches(HEX, words[2])) {
+        if (!matches(HEX_PATTERN, fields[1]) || !matches(HEX_PATTERN, fields[2])) {
             return new MalformedOpenRequest(raw, ProtocolViolation.INVALID_ID);
         }
-        Map<String, String> said = new LinkedHashMap<>();
-        for (String pair : words[3].split(",", -1)) {
-            int sign = pair.indexOf('=');
-            if (sign < 1 || said.put(pair.substring(0, sign), pair.substring(sign + 1)) != null) {
+        Map<String, String> parameters = new LinkedHashMap<>();
+        for (String parameter : fields[3].split(",", -1)) {
+            int equalsAt = parameter.indexOf('=');
+            if (equalsAt < 1
+                    || parameters.put(parameter.substring(0, equalsAt), parameter.substring(equalsAt + 1)) != null) {
                 return new MalformedOpenRequest(raw, ProtocolViolation.INVALID_PARAMETER);
             }
         }
-        String millis = said.getOrDefault("d", "0");
-        String group = said.getOrDefault("g", "0");
-        String guess = said.getOrDefault("h", "0");
+        String timeoutMillis = parameters.getOrDefault("d", "0");
+        String groupKey = parameters.getOrDefault("g", "0");
+        String loadEstimate = parameters.getOrDefault("h", "0");
+        // U+FFFD is what the UTF-8 decoder substitutes for malformed bytes.
         if (line.indexOf('\ufffd') >= 0
-                || !matches(MILLIS, millis)
-                || !matches(HEX, group)
-                || !matches(LOAD_ESTIMATE, guess)) {
+                || !matches(MILLIS_PATTERN, timeoutMillis)
+                || !matches(HEX_PATTERN, groupKey)
+                || !matches(LOAD_ESTIMATE_PATTERN, loadEstimate)) {
             return new MalformedOpenRequest(raw, ProtocolViolation.INVALID_PARAMETER);
         }
-        int useCase = names.useCases().indexOf(said.get("c"));
-        int tenant = names.tenants().isEmpty() ? 0 : names.tenants().indexOf(said.get("t"));
+        int useCase = names.useCases().indexOf(parameters.get("c"));
+        int tenant = names.tenants().isEmpty() ? 0 : names.tenants().indexOf(parameters.get("t"));
         if (useCase < 0 || tenant < 0) {
             return new MalformedOpenRequest(raw, ProtocolViolation.UNKNOWN_USE_CASE_OR_TENANT);
         }
         return new OpenRequest(
                 raw,
-                Long.parseUnsignedLong(words[1], 16),
-                Long.parseUnsignedLong(words[2], 16),
+                Long.parseUnsignedLong(fields[1], 16),
+                Long.parseUnsignedLong(fields[2], 16),
                 useCase,
                 tenant,
-                said.containsKey("d") ? Long.parseLong(millis) : -1,
-                Long.parseUnsignedLong(group, 16),
-                Double.parseDouble(guess),
-                said.get("at"),
-                "1".equals(said.get("mid")),
-                "1".equals(said.get("again")),
-                said);
+                parameters.containsKey("d") ? Long.parseLong(timeoutMillis) : -1,
+                Long.parseUnsignedLong(groupKey, 16),
+                Double.parseDouble(loadEstimate),
+                parameters.get("at"),
+                "1".equals(parameters.get("mid")),
+                "1".equals(parameters.get("again")),
+                parameters);
     }
 
-    private static boolean matches(Pattern form, String word) {
-        return form.matcher(word).matches();
+    private static boolean matches(Pattern pattern, String value) {
+        return pattern.matcher(value).matches();
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/wire/ConfiguredNames.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/ConfiguredNames.java
@@ -2,5 +2,8 @@
 
 import java.util.List;
 
-/** The names that an opening may use; their places in these lists are what the rest of the relay goes by. */
+/**
+ * The use cases and tenants that an OPEN line may name. The rest of the relay identifies them by their index in these
+ * lists. An empty list of tenants means that OPEN lines are accepted with any tenant or none.
+ */
 public record ConfiguredNames(List<String> useCases, List<String> tenants) {}
--- a/relay/src/main/java/ambertrestle/relay/wire/LineDecoder.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/LineDecoder.java
@@ -4,24 +4,30 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Cuts what arrives, in pieces of any size, into lines that keep their end. */
+/** Splits a byte stream, which arrives in chunks of any size, into lines. Each line includes its CRLF. */
 final class LineDecoder {
+    /** Includes the CRLF. */
     private static final int MAX_LINE_BYTES = 4096;
 
-    private byte[] buffer = new byte[128];
+    private static final int INITIAL_BUFFER_BYTES = 128;
+
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int length;
 
-    /** False when a line is longer than any may be: the rest of this connection means nothing. */
-    boolean feed(byte[] piece, Consumer<byte[]> line) {
-        for (byte b : piece) {
+    /**
+     * Decodes a chunk and passes each complete line to the consumer. Returns false when a line exceeds
+     * {@link #MAX_LINE_BYTES}: the start of the next line can't be found, so the rest of the stream is unusable.
+     */
+    boolean feed(byte[] chunk, Consumer<byte[]> lineConsumer) {
+        for (byte b : chunk) {
             if (length == buffer.length) {
                 buffer = Arrays.copyOf(buffer, length * 2);
             }
             buffer[length++] = b;
             if (b == '\n' && length > 1 && buffer[length - 2] == '\r') {
-                byte[] whole = Arrays.copyOf(buffer, length);
+                byte[] line = Arrays.copyOf(buffer, length);
                 length = 0;
-                line.accept(whole);
+                lineConsumer.accept(line);
             } else if (length >= MAX_LINE_BYTES) {
                 return false;
             }
@@ -29,7 +35,7 @@
         return true;
     }
 
-    /** What a line says, without its end. */
+    /** Returns the text of a line without its CRLF. Malformed UTF-8 is replaced by U+FFFD. */
     static String decodeText(byte[] raw) {
         return new String(raw, 0, raw.length - 2, StandardCharsets.UTF_8);
     }
--- a/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
@@ -10,44 +10,56 @@
 import io.vertx.core.net.NetSocket;
 import java.util.function.Consumer;
 
-/** One connected socket: lines in, lines out, ends told apart. Given back once, when its channel closes. */
+/**
+ * A connected socket that reads and writes lines and reports a half-close, a close and a reset separately. It is
+ * released exactly once, when its channel closes.
+ */
 final class LineSocket {
     private final NetSocketInternal socket;
     private final Channel channel;
     private final LineDecoder decoder = new LineDecoder();
     private Future<Void> lastWrite = Future.succeededFuture();
+    /** The other socket of a proxied connection, for backpressure; null until linked. */
     private LineSocket linkedSocket;
+    /** An I/O error occurred, such as a reset by the peer. */
     private boolean isReset;
+    /** This side closes or resets the socket; what still arrives is ignored. */
     private boolean isClosing;
 
+    /** Receives the events of one socket, on the event loop. */
     interface Listener {
+        /** A line arrived; `raw` includes its CRLF. */
         void onLine(byte[] raw);
 
+        /** The peer sent a line that is too long. Called again for each further chunk until the socket is closed. */
         void onFramingError();
 
+        /** The peer closed its sending direction; it may still read. */
         void onInputShutdown();
 
+        /** The channel closed, whichever side closed it; `reset` is true after an I/O error. */
         void onClosed(boolean reset);
     }
 
-    LineSocket(NetSocket made, Listener owner) {
-        socket = (NetSocketInternal) made;
+    LineSocket(NetSocket netSocket, Listener listener) {
+        socket = (NetSocketInternal) netSocket;
         channel = socket.channelHandlerContext().channel();
-        // Danger: without this a peer that only ends its sending would be cut off in what it still reads.
+        // Without this option, a peer that only closes its sending direction would lose the data that it still reads,
+        // because Netty would close the whole channel.
         channel.config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
-        Consumer<byte[]> line = raw -> {
+        Consumer<byte[]> lineConsumer = raw -> {
             if (!isClosing) {
-                owner.onLine(raw);
+                listener.onLine(raw);
             }
         };
-        socket.handler(piece -> {
-            if (!isClosing && !decoder.feed(piece.getBytes(), line)) {
-                owner.onFramingError();
+        socket.handler(chunk -> {
+            if (!isClosing && !decoder.feed(chunk.getBytes(), lineConsumer)) {
+                listener.onFramingError();
             }
         });
         socket.eventHandler(event -> {
             if (event instanceof ChannelInputShutdownEvent) {
-                owner.onInputShutdown();
+                listener.onInputShutdown();
             }
         });
         socket.exceptionHandler(e -> isReset = true);
@@ -57,18 +69,21 @@
             }
         });
         socket.closeHandler(v -> {
-            // Danger: a paused peer whose other end is gone would never be read again, nor found closed.
+            // Without this, a linked socket that is paused would never be read again once this socket is closed, and
+            // its own close would go undetected.
             if (linkedSocket != null) {
                 linkedSocket.socket.resume();
             }
-            owner.onClosed(isReset);
+            listener.onClosed(isReset);
         });
     }
 
+    /** Pauses reading from `other` while the write queue of this socket is full. */
     void linkFlowControl(LineSocket other) {
         linkedSocket = other;
     }
 
+    /** Writes a line, which must include its CRLF. */
     Future<Void> write(byte[] line) {
         lastWrite = socket.write(Buffer.buffer(line));
         if (linkedSocket != null && socket.writeQueueFull()) {
@@ -77,15 +92,18 @@
         return lastWrite;
     }
 
+    /** Closes the sending direction after pending writes are flushed. */
     void shutdownOutput() {
         lastWrite.onComplete(v -> ((DuplexChannel) channel).shutdownOutput());
     }
 
+    /** Closes the socket after pending writes are flushed. */
     void close() {
         isClosing = true;
         lastWrite.onComplete(v -> socket.close());
     }
 
+    /** Closes the socket at once with a TCP reset and discards pending writes. */
     void reset() {
         isClosing = true;
         if (channel.isOpen()) {
--- a/relay/src/main/java/ambertrestle/relay/wire/NetworkCommand.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/NetworkCommand.java
@@ -1,23 +1,37 @@
 package ambertrestle.relay.wire;
 
-/** What the sockets are asked to do. */
+/**
+ * A command to the network layer. Sockets are identified by the numbers described at {@link NetworkEvent}. A command to
+ * a socket that is not open has no effect, except that {@link Close} and {@link Reset} cancel a pending connect.
+ */
 public sealed interface NetworkCommand {
-    /** Connects and writes the first line. */
+    /**
+     * Connects to a backend and writes the first line.
+     *
+     * @param socket number for the new socket, negative and not used before
+     * @param address `host:port`; if it is malformed, the socket is reported as closed by a reset
+     * @param firstLine includes its CRLF
+     */
     record Connect(long socket, String address, byte[] firstLine) implements NetworkCommand {}
 
+    /** Writes a line, which includes its CRLF. */
     record Write(long socket, byte[] line) implements NetworkCommand {}
 
-    /** From now on neither of the two is read faster than the other one takes it in. */
+    /** Applies backpressure between two sockets: each is read only while the write queue of the other has room. */
     record LinkFlowControl(long firstSocket, long secondSocket) implements NetworkCommand {}
 
-    /** Ends the sending after what was written. */
+    /** Closes the sending direction after pending writes are flushed. */
     record ShutdownOutput(long socket) implements NetworkCommand {}
 
-    /** Closes after what was written. */
+    /** Closes the socket after pending writes are flushed. */
     record Close(long socket) implements NetworkCommand {}
 
+    /** Closes the socket at once with a TCP reset and discards pending writes. */
     record Reset(long socket) implements NetworkCommand {}
 
-    /** Watches the roster there from this version on, or, below 0, from the whole list on. */
+    /**
+     * Watches the roster service at this address and replaces the current watch. Asks for the changes since
+     * `fromVersion`, or, if it is negative, for the complete roster first.
+     */
     record WatchRoster(Address address, long fromVersion) implements NetworkCommand {}
 }
--- a/relay/src/main/java/ambertrestle/relay/wire/NetworkEvent.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/NetworkEvent.java
@@ -2,35 +2,51 @@
 
 import java.util.Map;
 
-/** What the sockets tell. Accepted sockets are numbered upwards from 1, dialled ones downwards from -1. */
+/**
+ * An event of the network layer. Sockets are identified by numbers that are not reused: accepted sockets count up from
+ * 1, sockets to backends count down from -1.
+ */
 public sealed interface NetworkEvent {
+    /** A client connected. */
     record ClientAccepted(long socket) implements NetworkEvent {}
 
     record ClientMessageReceived(long socket, ClientMessage message) implements NetworkEvent {}
 
     record BackendMessageReceived(long socket, BackendMessage message) implements NetworkEvent {}
 
-    /** A dialled socket is up and its first line about to go out. */
+    /** The connection to a backend is up; its first line is written next. */
     record BackendConnected(long socket) implements NetworkEvent {}
 
-    /** The first line is out to its last byte. */
+    /** The first line to a backend was written completely to the operating system. */
     record FirstLineWritten(long socket) implements NetworkEvent {}
 
-    /** The peer has ended its sending; it may still listen. */
+    /** The peer closed its sending direction; it may still read. */
     record InputShutdown(long socket) implements NetworkEvent {}
 
-    /** The socket is given back, whoever closed it; `reset`: the peer broke it off. */
+    /**
+     * The socket was released, whichever side closed it, or could not be connected. It is the last event of a socket.
+     *
+     * @param isReset true after an I/O error, such as a reset by the peer, and after a failed connect
+     */
     record SocketClosed(long socket, boolean isReset) implements NetworkEvent {}
 
-    /** The peer sent what is no line. */
+    /** The peer sent a line that is too long. */
     record FramingError(long socket) implements NetworkEvent {}
 
-    /** `faulty`: why entries were left out, by their names; what was known of those stands. */
+    /**
+     * The roster service sent a message.
+     *
+     * @param message the entries that were valid
+     * @param faultyEntries the reasons why entries were skipped, by their names; what was known of those backends
+     *     remains valid
+     */
     record RosterReceived(RosterMessage message, Map<String, String> faultyEntries) implements NetworkEvent {
+        /** A message without faulty entries. */
         public RosterReceived(RosterMessage message) {
             this(message, Map.of());
         }
     }
 
+    /** The watch on the roster service ended and must be requested again. */
     record RosterWatchFailed(String reason) implements NetworkEvent {}
 }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
@@ -9,8 +9,28 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** One message of the roster service: all backends, or those that changed. */
+/**
+ * A message of the roster service.
+ *
+ * @param version version of the roster after this message; it increases with each change
+ * @param isComplete true if `entries` lists all backends, false if it lists only those that changed
+ */
 public record RosterMessage(long version, boolean isComplete, List<Entry> entries) {
+    private static final long FNV_64_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_64_PRIME = 0x100000001b3L;
+
+    /**
+     * A backend.
+     *
+     * @param name unique name of the backend
+     * @param address `host:port`; may be empty if the stage is GONE
+     * @param zone name of its zone; empty if not given
+     * @param type name of its machine type; empty if not given
+     * @param cell number of its cell; 0 if not given
+     * @param weight relative capacity; 1 if not given
+     * @param startedAtMillis start of the backend in milliseconds since the Unix epoch; 0 if not given, which counts as
+     *     long ago
+     */
     public record Entry(
             String name,
             String address,
@@ -21,59 +41,78 @@
             double weight,
             long startedAtMillis) {}
 
-    /** Any name is an id: FNV-1a over its bytes, 64 bits, so that relays agree without talking. */
+    /**
+     * Returns the id of a backend: the 64-bit FNV-1a hash of its name in UTF-8. All relays derive the same id without
+     * coordination.
+     */
     public static long backendId(String name) {
-        long hash = 0xcbf29ce484222325L;
+        long hash = FNV_64_OFFSET_BASIS;
         for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ (b & 0xff)) * 0x100000001b3L;
+            hash = (hash ^ (b & 0xff)) * FNV_64_PRIME;
         }
         return hash;
     }
 
-    /** The whole list as it is after these changes, or after that list. */
-    public RosterMessage withUpdate(RosterMessage changes) {
+    /**
+     * Returns the complete roster after an update, sorted by name and without backends that are GONE. If the update is
+     * complete, it replaces this roster; otherwise its entries replace those of the same name.
+     */
+    public RosterMessage withUpdate(RosterMessage update) {
         TreeMap<String, Entry> byName = new TreeMap<>();
-        if (!changes.isComplete) {
-            entries.forEach(l -> byName.put(l.name, l));
+        if (!update.isComplete) {
+            entries.forEach(entry -> byName.put(entry.name, entry));
         }
-        changes.entries.forEach(l -> byName.put(l.name, l));
-        byName.values().removeIf(l -> l.stage == Stage.GONE);
-        return new RosterMessage(changes.version, true, List.copyOf(byName.values()));
+        update.entries.forEach(entry -> byName.put(entry.name, entry));
+        byName.values().removeIf(entry -> entry.stage == Stage.GONE);
+        return new RosterMessage(update.version, true, List.copyOf(byName.values()));
     }
 
-    /** Throws IllegalArgumentException, naming the key, on what is no message, be it one entry. */
+    /**
+     * Decodes a message.
+     *
+     * @throws IllegalArgumentException if the message or one of its entries is malformed; the text names the key that
+     *     is missing
+     */
     public static RosterMessage decode(JsonObject json) {
-        return decode(json, (name, why) -> {
-            throw new IllegalArgumentException(why);
+        return decode(json, (name, reason) -> {
+            throw new IllegalArgumentException(reason);
         });
     }
 
-    /** The same, but a faulty entry is left out and told, with its name where it has one, else with its place. */
-    public static RosterMessage decode(JsonObject json, BiConsumer<String, String> faulty) {
+    /**
+     * Decodes a message and skips faulty entries.
+     *
+     * @param onFaultyEntry receives the name of each skipped entry and the reason; an entry without a name is called
+     *     "entry" with its index
+     * @throws IllegalArgumentException if the message itself is malformed
+     */
+    public static RosterMessage decode(JsonObject json, BiConsumer<String, String> onFaultyEntry) {
         try {
-            List<Entry> lines = new ArrayList<>();
+            List<Entry> decodedEntries = new ArrayList<>();
             JsonArray entries = json.getJsonArray("endpoints", new JsonArray());
             for (int i = 0; i < entries.size(); i++) {
                 String name = "entry " + i;
                 try {
-                    JsonObject e = entries.getJsonObject(i);
-                    name = require(e.getString("name"), "name");
-                    lines.add(decodeEntry(name, e));
+                    JsonObject entry = entries.getJsonObject(i);
+                    name = requirePresent(entry.getString("name"), "name");
+                    decodedEntries.add(decodeEntry(name, entry));
                 } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
-                    faulty.accept(
+                    onFaultyEntry.accept(
                             name,
-                            e instanceof IllegalArgumentException ? e.getMessage() : "a value has the wrong form");
+                            e instanceof IllegalArgumentException
+                                    ? e.getMessage()
+                                    : "a value is null or has the wrong JSON type");
                 }
             }
             return new RosterMessage(
-                    require(json.getLong("index"), "index"), json.getBoolean("snapshot", false), lines);
+                    requirePresent(json.getLong("index"), "index"), json.getBoolean("snapshot", false), decodedEntries);
         } catch (ClassCastException | NullPointerException e) {
-            throw new IllegalArgumentException("a value has the wrong form", e);
+            throw new IllegalArgumentException("a value is null or has the wrong JSON type", e);
         }
     }
 
-    private static Entry decodeEntry(String name, JsonObject e) {
-        String status = require(e.getString("status"), "status");
+    private static Entry decodeEntry(String name, JsonObject json) {
+        String status = requirePresent(json.getString("status"), "status");
         Stage stage =
                 switch (status) {
                     case "in_service" -> Stage.READY;
@@ -81,7 +120,7 @@
                     case "terminated" -> Stage.GONE;
                     default -> throw new IllegalArgumentException("status of " + name + " is not known");
                 };
-        String address = e.getString("address", "");
+        String address = json.getString("address", "");
         if (address.isEmpty() && stage != Stage.GONE) {
             throw new IllegalArgumentException("address of " + name + " is missing");
         }
@@ -89,14 +128,14 @@
                 name,
                 address,
                 stage,
-                e.getString("zone", ""),
-                e.getString("type", ""),
-                e.getInteger("group", 0),
-                e.getDouble("weight", 1.0),
-                e.getLong("since_ms", 0L));
+                json.getString("zone", ""),
+                json.getString("type", ""),
+                json.getInteger("group", 0),
+                json.getDouble("weight", 1.0),
+                json.getLong("since_ms", 0L));
     }
 
-    private static <T> T require(T value, String key) {
+    private static <T> T requirePresent(T value, String key) {
         if (value == null) {
             throw new IllegalArgumentException(key + " is missing");
         }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterStreamParser.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterStreamParser.java
@@ -9,49 +9,59 @@
 import java.util.function.Consumer;
 
 /**
- * Reads what a watch brings: JSON values one after the other, whatever white space stands in or between them and
- * wherever the pieces are cut. No socket, no timer. What is no JSON, or no message, is told once and ends it; one
- * faulty entry does not.
+ * Parses the response body of a roster watch: a sequence of JSON objects with any white space in or between them, in
+ * chunks of any size. Input that is not JSON, or not a roster message, is reported once and ends parsing; a faulty
+ * entry is skipped and doesn't. Uses no socket and no timer.
  */
 final class RosterStreamParser {
-    /** Bounds what one message may hold in memory: some twenty thousand entries, indented. */
+    /** Bounds the memory that one message takes. It is enough for about 20,000 entries in indented JSON. */
     static final int MAX_MESSAGE_BYTES = 8 << 20;
 
+    /** Only chunks shorter than this are checked for being blank; empty lines arrive in such chunks. */
+    private static final int BLANK_CHUNK_LIMIT_BYTES = 8;
+
     private final JsonParser parser = JsonParser.newParser().objectValueMode();
     private final Consumer<NetworkEvent.RosterReceived> messageListener;
     private final Consumer<String> errorListener;
-    /** What came since the last value was whole; 0 while none has begun. */
+    /**
+     * Size of the chunks since the last complete value. Blank chunks don't count, nor does the start of a message that
+     * shares a chunk with the end of the previous one.
+     */
     private int unparsedBytes;
 
     private boolean hasFailed;
 
-    RosterStreamParser(Consumer<NetworkEvent.RosterReceived> tell, Consumer<String> broke) {
-        this.messageListener = tell;
-        this.errorListener = broke;
+    /** `errorListener` receives the reason, once; nothing is reported to either listener after that. */
+    RosterStreamParser(Consumer<NetworkEvent.RosterReceived> messageListener, Consumer<String> errorListener) {
+        this.messageListener = messageListener;
+        this.errorListener = errorListener;
         parser.exceptionHandler(e -> failMalformed(e.getMessage()));
         parser.handler(event -> {
             unparsedBytes = 0;
             if (event.type() == JsonEventType.VALUE && event.isObject()) {
                 onMessage(event.objectValue());
             } else {
-                failMalformed("a value that is no object");
+                failMalformed("expected a JSON object");
             }
         });
     }
 
-    void feed(Buffer piece) {
+    /** Parses a chunk and reports the messages that it completes. Ignored after a failure. */
+    void feed(Buffer chunk) {
         if (hasFailed) {
             return;
         }
-        // Danger: an object without end would fill the memory; empty lines, which come for months, hold none.
-        unparsedBytes += piece.length() < 8 && piece.toString().isBlank() ? 0 : piece.length();
-        parser.handle(piece);
+        // Without a limit, an object that never ends would exhaust the memory. Empty lines take no memory; if they
+        // counted, the limit would be reached, because the service sends them for months.
+        unparsedBytes +=
+                chunk.length() < BLANK_CHUNK_LIMIT_BYTES && chunk.toString().isBlank() ? 0 : chunk.length();
+        parser.handle(chunk);
         if (!hasFailed && unparsedBytes > MAX_MESSAGE_BYTES) {
-            fail("a message too long");
+            fail("message exceeds " + MAX_MESSAGE_BYTES + " bytes");
         }
     }
 
-    /** Nothing is half heard: the list as it was told stands. */
+    /** No message is partly received and nothing failed, so the last reported roster is current. */
     boolean isAtMessageBoundary() {
         return !hasFailed && unparsedBytes == 0;
     }
@@ -60,25 +70,25 @@
         if (hasFailed) {
             return;
         }
-        Map<String, String> faulty = new TreeMap<>();
+        Map<String, String> faultyEntries = new TreeMap<>();
         RosterMessage message;
         try {
-            message = RosterMessage.decode(json, faulty::put);
+            message = RosterMessage.decode(json, faultyEntries::put);
         } catch (IllegalArgumentException e) {
             failMalformed(e.getMessage());
             return;
         }
-        messageListener.accept(new NetworkEvent.RosterReceived(message, faulty));
+        messageListener.accept(new NetworkEvent.RosterReceived(message, faultyEntries));
     }
 
-    private void failMalformed(String why) {
-        fail("nonsense: " + why);
+    private void failMalformed(String reason) {
+        fail("malformed message: " + reason);
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (!hasFailed) {
             hasFailed = true;
-            errorListener.accept(why);
+            errorListener.accept(reason);
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterWatcher.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterWatcher.java
@@ -10,87 +10,103 @@
 import io.vertx.core.http.RequestOptions;
 import java.util.function.Consumer;
 
-/** Owns the one watch on the roster service; the one before is given back before the next is asked for. */
+/**
+ * Watches the roster service over one streaming HTTP request. At most one watch is active: a new watch cancels the
+ * previous one. Not thread-safe; all methods are called on the event loop.
+ */
 public final class RosterWatcher {
-    /** An empty line comes every 2 s while nothing changes. */
-    private static final long IDLE_TIMEOUT_MILLIS = 3_200, RESPONSE_TIMEOUT_MILLIS = 3_000;
+    /** The service sends an empty line every 2 s while nothing changes. */
+    private static final long IDLE_TIMEOUT_MILLIS = 3_200;
+
+    private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_HTTP_CHUNK_BYTES = 1 << 16;
 
     private final Vertx vertx;
     private final HttpClient client;
     private final Consumer<NetworkEvent> eventListener;
-    /** Counts the watches; what an earlier one still brings is not heard. */
-    private long currentWatch;
+    /** Number of the current watch. Callbacks of earlier watches compare it with their own and do nothing. */
+    private long currentWatchId;
 
+    /** -1 if no timer was set yet. */
     private long timeoutTimer = -1;
+    /** Null until the connection for the current watch is up. */
     private HttpClientRequest currentRequest;
+    /** Address of the current or last watch; null before the first. */
     private Address serviceAddress;
-    /** Who said last that the list stands, and when by the monotonic clock; null while nobody did. */
+    /** See {@link #rosterConfirmedBy()}. */
     private Address rosterConfirmedBy;
-
+    /** See {@link #rosterConfirmedAt()}. */
     private long rosterConfirmedAt;
 
-    public RosterWatcher(Vertx vertx, Consumer<NetworkEvent> tell) {
+    /** The listener receives {@link NetworkEvent.RosterReceived} and {@link NetworkEvent.RosterWatchFailed}. */
+    public RosterWatcher(Vertx vertx, Consumer<NetworkEvent> eventListener) {
         this.vertx = vertx;
-        this.eventListener = tell;
+        this.eventListener = eventListener;
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setKeepAlive(false)
-                .setConnectTimeout(2_000)
-                .setMaxChunkSize(1 << 16));
+                .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
+                .setMaxChunkSize(MAX_HTTP_CHUNK_BYTES));
     }
 
-    public void watch(Address at, long index) {
+    /**
+     * Cancels the current watch and starts a new one, for the changes since `fromVersion` or, if it is negative, for
+     * the complete roster and its changes. A watch that fails is reported once and not retried.
+     */
+    public void watch(Address address, long fromVersion) {
         cancelWatch();
-        serviceAddress = at;
-        long mine = currentWatch;
-        restartTimeout(mine, RESPONSE_TIMEOUT_MILLIS, "no answer");
-        String path = "/v1/endpoints?stream=1" + (index < 0 ? "" : "&index=" + index);
+        serviceAddress = address;
+        long watchId = currentWatchId;
+        restartTimeout(watchId, RESPONSE_TIMEOUT_MILLIS, "no response within " + RESPONSE_TIMEOUT_MILLIS + " ms");
+        String path = "/v1/endpoints?stream=1" + (fromVersion < 0 ? "" : "&index=" + fromVersion);
         client.request(new RequestOptions()
                         .setMethod(HttpMethod.GET)
-                        .setHost(at.host())
-                        .setPort(at.port())
+                        .setHost(address.host())
+                        .setPort(address.port())
                         .setURI(path))
-                .onFailure(e -> onWatchFailed(mine, "not connected"))
+                .onFailure(e -> onWatchFailed(watchId, "not connected"))
                 .onSuccess(request -> {
-                    if (mine != currentWatch) {
+                    if (watchId != currentWatchId) {
                         request.reset();
                         return;
                     }
                     currentRequest = request;
-                    request.exceptionHandler(e -> onWatchFailed(mine, "cut off"));
+                    request.exceptionHandler(e -> onWatchFailed(watchId, "cut off"));
                     request.send()
-                            .onFailure(e -> onWatchFailed(mine, "no answer"))
-                            .onSuccess(r -> onResponse(mine, r));
+                            .onFailure(e -> onWatchFailed(watchId, "no response: the request failed"))
+                            .onSuccess(response -> onResponse(watchId, response));
                 });
     }
 
-    private void onResponse(long mine, HttpClientResponse response) {
-        if (mine != currentWatch) {
+    private void onResponse(long watchId, HttpClientResponse response) {
+        if (watchId != currentWatchId) {
             return;
         }
         if (response.statusCode() != 200) {
-            onWatchFailed(mine, "answer " + response.statusCode());
+            onWatchFailed(watchId, "expected HTTP status 200, got " + response.statusCode());
             return;
         }
-        restartTimeout(mine, IDLE_TIMEOUT_MILLIS, "silent");
-        RosterStreamParser stream = new RosterStreamParser(
-                heard -> {
-                    if (mine == currentWatch) {
-                        eventListener.accept(heard);
+        restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, "silent");
+        RosterStreamParser parser = new RosterStreamParser(
+                event -> {
+                    if (watchId == currentWatchId) {
+                        eventListener.accept(event);
                     }
                 },
-                why -> onWatchFailed(mine, why));
-        response.handler(piece -> onChunk(mine, stream, piece))
-                .exceptionHandler(e -> onWatchFailed(mine, "cut off"))
-                .endHandler(v -> onWatchFailed(mine, "ended"));
+                reason -> onWatchFailed(watchId, reason));
+        response.handler(chunk -> onChunk(watchId, parser, chunk))
+                .exceptionHandler(e -> onWatchFailed(watchId, "cut off"))
+                .endHandler(v -> onWatchFailed(watchId, "ended"));
     }
 
-    /** Whatever comes shows that the watch lives; only what means nothing ends it. */
-    private void onChunk(long mine, RosterStreamParser stream, Buffer piece) {
-        if (mine == currentWatch) {
-            restartTimeout(mine, IDLE_TIMEOUT_MILLIS, "silent");
-            stream.feed(piece);
-            // Danger: half a list, or nonsense, must not make a kept list pass for one that was heard just now.
-            if (stream.isAtMessageBoundary()) {
+    /** Restarts the idle timeout, because any chunk shows that the service is alive. Malformed input ends the watch. */
+    private void onChunk(long watchId, RosterStreamParser parser, Buffer chunk) {
+        if (watchId == currentWatchId) {
+            restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, "silent");
+            parser.feed(chunk);
+            // Without this check, part of a message or malformed input would confirm the roster, and a persisted roster
+            // would appear to be newer than it is.
+            if (parser.isAtMessageBoundary()) {
                 confirmRoster();
             }
         }
@@ -101,29 +117,37 @@
         rosterConfirmedAt = System.nanoTime();
     }
 
+    /**
+     * Returns the address of the service that last confirmed the roster, by a complete message or an empty line; null
+     * if none has yet.
+     */
     public Address rosterConfirmedBy() {
         return rosterConfirmedBy;
     }
 
+    /** Returns when the roster was last confirmed, as {@link System#nanoTime()}; 0 if it never was. */
     public long rosterConfirmedAt() {
         return rosterConfirmedAt;
     }
 
-    /** Danger: a roster service that vanishes says nothing; silence must end the watch too. */
-    private void restartTimeout(long mine, long millis, String why) {
+    /**
+     * Fails the watch after this time unless it is restarted. Without the timeout, the watch would stay open forever
+     * after the service vanished, because a host that vanishes doesn't close its connections.
+     */
+    private void restartTimeout(long watchId, long millis, String reason) {
         vertx.cancelTimer(timeoutTimer);
-        timeoutTimer = vertx.setTimer(millis, t -> onWatchFailed(mine, why));
+        timeoutTimer = vertx.setTimer(millis, t -> onWatchFailed(watchId, reason));
     }
 
-    private void onWatchFailed(long mine, String why) {
-        if (mine == currentWatch) {
+    private void onWatchFailed(long watchId, String reason) {
+        if (watchId == currentWatchId) {
             cancelWatch();
-            eventListener.accept(new NetworkEvent.RosterWatchFailed(why));
+            eventListener.accept(new NetworkEvent.RosterWatchFailed(reason));
         }
     }
 
     private void cancelWatch() {
-        currentWatch++;
+        currentWatchId++;
         vertx.cancelTimer(timeoutTimer);
         if (currentRequest != null) {
             currentRequest.reset();
--- a/relay/src/main/java/ambertrestle/relay/wire/SingleEventLoopTransport.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/SingleEventLoopTransport.java
@@ -6,9 +6,12 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Accepts on the one event loop. Danger: Vert.x accepts on a thread of its own, which takes descriptor after descriptor
- * while the loop, with part of a core and a crowd at the door, has not yet turned the first ones away; past the limit
- * neither accepting nor dialling works. So the rest waits in the backlog.
+ * A transport with a single event loop, which also accepts connections.
+ *
+ * <p>By default, Vert.x accepts on a separate thread. When many clients connect at once and the event loop has only
+ * part of a core, that thread opens file descriptors faster than the event loop rejects connections. At the limit of
+ * file descriptors, neither accepting nor connecting works. With a single event loop, connections that can't be handled
+ * yet wait in the listen backlog.
  */
 public final class SingleEventLoopTransport implements Transport {
     @Override
@@ -29,14 +32,15 @@
     @Override
     public io.vertx.core.spi.transport.Transport implementation() {
         return new NioTransport() {
-            private EventLoopGroup loop;
+            /** Shared by the acceptor and the workers; null until Vert.x asks for the first group. */
+            private EventLoopGroup sharedGroup;
 
             @Override
             public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
-                if (loop == null) {
-                    loop = super.eventLoopGroup(type, 1, factory, ioRatio);
+                if (sharedGroup == null) {
+                    sharedGroup = super.eventLoopGroup(type, 1, factory, ioRatio);
                 }
-                return loop;
+                return sharedGroup;
             }
         };
     }
--- a/relay/src/main/java/ambertrestle/relay/wire/SocketManager.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/SocketManager.java
@@ -12,141 +12,161 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Owns the listening socket and every connection; each is given back in its gone handler. */
+/**
+ * Owns the listening socket and the connections to clients and backends: executes {@link NetworkCommand}s and reports
+ * {@link NetworkEvent}s. A socket is released only when its channel closes. Not thread-safe; commands are executed on
+ * the event loop.
+ */
 public final class SocketManager {
+    private static final int ACCEPT_BACKLOG = 1024;
+
     private final NetServer server;
     private final NetClient client;
     private final Consumer<NetworkEvent> eventListener;
     private final ConfiguredNames names;
+    /** By socket number. */
     private final Map<Long, LineSocket> openSockets = new HashMap<>();
-    /** Dialled and not yet up; true once nobody wants it any more. */
+    /** Connects in progress, by socket number; the value is true once the connect was cancelled. */
     private final Map<Long, Boolean> pendingConnects = new HashMap<>();
 
     private long lastAcceptedSocket;
 
-    public SocketManager(Vertx vertx, int connectMillis, ConfiguredNames names, Consumer<NetworkEvent> tell) {
-        this.eventListener = tell;
+    /**
+     * Creates the manager; it accepts no connections before {@link #listen}.
+     *
+     * @param connectTimeoutMillis timeout that the reducer applies to connects to backends
+     * @param names the use cases and tenants that clients may name
+     */
+    public SocketManager(
+            Vertx vertx, int connectTimeoutMillis, ConfiguredNames names, Consumer<NetworkEvent> eventListener) {
+        this.eventListener = eventListener;
         this.names = names;
         server = vertx.createNetServer(new NetServerOptions()
                 .setTcpNoDelay(true)
-                .setAcceptBacklog(1024)
+                .setAcceptBacklog(ACCEPT_BACKLOG)
                 .setReuseAddress(true));
-        // The reducer gives a dial up in time; this is for one that it forgot.
-        client =
-                vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2 * connectMillis));
+        // The reducer cancels a connect after the timeout. The doubled timeout here is a fallback in case it doesn't.
+        client = vertx.createNetClient(
+                new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2 * connectTimeoutMillis));
     }
 
-    /** Gives the port that it listens on. */
+    /** Starts to accept clients and returns the port, which the system chooses if `port` is 0. */
     public Future<Integer> listen(String host, int port) {
         return server.connectHandler(this::accept).listen(port, host).map(NetServer::actualPort);
     }
 
-    private void accept(NetSocket socket) {
-        long number = ++lastAcceptedSocket;
-        openSockets.put(number, new LineSocket(socket, new SocketListener(number) {
+    private void accept(NetSocket netSocket) {
+        long socket = ++lastAcceptedSocket;
+        openSockets.put(socket, new LineSocket(netSocket, new SocketListener(socket) {
             @Override
             public void onLine(byte[] raw) {
-                eventListener.accept(new NetworkEvent.ClientMessageReceived(number, ClientMessage.decode(raw, names)));
+                eventListener.accept(new NetworkEvent.ClientMessageReceived(socket, ClientMessage.decode(raw, names)));
             }
         }));
-        eventListener.accept(new NetworkEvent.ClientAccepted(number));
+        eventListener.accept(new NetworkEvent.ClientAccepted(socket));
     }
 
-    private void connect(long number, String address, byte[] line) {
-        SocketAddress there;
+    private void connect(long socket, String address, byte[] firstLine) {
+        SocketAddress remoteAddress;
         try {
             int colon = address.lastIndexOf(':');
-            there = SocketAddress.inetSocketAddress(
+            remoteAddress = SocketAddress.inetSocketAddress(
                     Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon));
         } catch (RuntimeException e) {
-            // Danger: the roster may list what is no address; the dispatch must still end.
-            eventListener.accept(new NetworkEvent.SocketClosed(number, true));
+            // The roster may list a malformed address. Without this event, the dispatch would never end.
+            eventListener.accept(new NetworkEvent.SocketClosed(socket, true));
             return;
         }
-        pendingConnects.put(number, false);
-        client.connect(there)
+        pendingConnects.put(socket, false);
+        client.connect(remoteAddress)
                 .onFailure(e -> {
-                    pendingConnects.remove(number);
-                    eventListener.accept(new NetworkEvent.SocketClosed(number, true));
+                    pendingConnects.remove(socket);
+                    eventListener.accept(new NetworkEvent.SocketClosed(socket, true));
                 })
-                .onSuccess(socket -> {
-                    if (pendingConnects.remove(number)) {
-                        // Danger: a connection that nobody waits for any more must not carry its line.
-                        socket.close();
-                        eventListener.accept(new NetworkEvent.SocketClosed(number, false));
+                .onSuccess(netSocket -> {
+                    if (pendingConnects.remove(socket)) {
+                        // The connect was cancelled. Without this check, the first line would still be sent, and the
+                        // backend would run a dispatch that was given up.
+                        netSocket.close();
+                        eventListener.accept(new NetworkEvent.SocketClosed(socket, false));
                         return;
                     }
-                    LineSocket made = new LineSocket(socket, new SocketListener(number) {
+                    LineSocket lineSocket = new LineSocket(netSocket, new SocketListener(socket) {
                         @Override
                         public void onLine(byte[] raw) {
                             eventListener.accept(
-                                    new NetworkEvent.BackendMessageReceived(number, BackendMessage.decode(raw)));
+                                    new NetworkEvent.BackendMessageReceived(socket, BackendMessage.decode(raw)));
                         }
                     });
-                    openSockets.put(number, made);
-                    eventListener.accept(new NetworkEvent.BackendConnected(number));
-                    made.write(line).onSuccess(v -> eventListener.accept(new NetworkEvent.FirstLineWritten(number)));
+                    openSockets.put(socket, lineSocket);
+                    eventListener.accept(new NetworkEvent.BackendConnected(socket));
+                    lineSocket
+                            .write(firstLine)
+                            .onSuccess(v -> eventListener.accept(new NetworkEvent.FirstLineWritten(socket)));
                 });
     }
 
-    public void execute(NetworkCommand ask) {
-        if (ask instanceof NetworkCommand.Connect dial) {
-            connect(dial.socket(), dial.address(), dial.firstLine());
-        } else if (ask instanceof NetworkCommand.Write write) {
-            LineSocket s = openSockets.get(write.socket());
-            if (s != null) {
-                s.write(write.line());
+    /** Executes a command; {@link NetworkCommand.WatchRoster} is ignored, {@link RosterWatcher} handles it. */
+    public void execute(NetworkCommand command) {
+        if (command instanceof NetworkCommand.Connect connect) {
+            connect(connect.socket(), connect.address(), connect.firstLine());
+        } else if (command instanceof NetworkCommand.Write write) {
+            LineSocket lineSocket = openSockets.get(write.socket());
+            if (lineSocket != null) {
+                lineSocket.write(write.line());
             }
-        } else if (ask instanceof NetworkCommand.LinkFlowControl couple) {
-            LineSocket one = openSockets.get(couple.firstSocket());
-            LineSocket other = openSockets.get(couple.secondSocket());
-            if (one != null && other != null) {
-                one.linkFlowControl(other);
-                other.linkFlowControl(one);
+        } else if (command instanceof NetworkCommand.LinkFlowControl link) {
+            LineSocket first = openSockets.get(link.firstSocket());
+            LineSocket second = openSockets.get(link.secondSocket());
+            if (first != null && second != null) {
+                first.linkFlowControl(second);
+                second.linkFlowControl(first);
             }
-        } else if (ask instanceof NetworkCommand.ShutdownOutput finish) {
-            LineSocket s = openSockets.get(finish.socket());
-            if (s != null) {
-                s.shutdownOutput();
+        } else if (command instanceof NetworkCommand.ShutdownOutput shutdown) {
+            LineSocket lineSocket = openSockets.get(shutdown.socket());
+            if (lineSocket != null) {
+                lineSocket.shutdownOutput();
             }
-        } else if (ask instanceof NetworkCommand.Close close) {
+        } else if (command instanceof NetworkCommand.Close close) {
             closeSocket(close.socket(), false);
-        } else if (ask instanceof NetworkCommand.Reset reset) {
+        } else if (command instanceof NetworkCommand.Reset reset) {
             closeSocket(reset.socket(), true);
         }
     }
 
-    private void closeSocket(long number, boolean reset) {
-        pendingConnects.computeIfPresent(number, (n, unwanted) -> true);
-        LineSocket s = openSockets.get(number);
-        if (s != null && reset) {
-            s.reset();
-        } else if (s != null) {
-            s.close();
+    /** Cancels a pending connect, or closes or resets an open socket. */
+    private void closeSocket(long socket, boolean reset) {
+        pendingConnects.computeIfPresent(socket, (key, cancelled) -> true);
+        LineSocket lineSocket = openSockets.get(socket);
+        if (lineSocket != null && reset) {
+            lineSocket.reset();
+        } else if (lineSocket != null) {
+            lineSocket.close();
         }
     }
 
+    /** Reports the events of one socket that are the same for clients and backends. */
     private abstract class SocketListener implements LineSocket.Listener {
-        private final long number;
+        private final long socket;
 
-        SocketListener(long number) {
-            this.number = number;
+        SocketListener(long socket) {
+            this.socket = socket;
         }
 
         @Override
         public void onFramingError() {
-            eventListener.accept(new NetworkEvent.FramingError(number));
+            eventListener.accept(new NetworkEvent.FramingError(socket));
         }
 
         @Override
         public void onInputShutdown() {
-            eventListener.accept(new NetworkEvent.InputShutdown(number));
+            eventListener.accept(new NetworkEvent.InputShutdown(socket));
         }
 
         @Override
         public void onClosed(boolean reset) {
-            openSockets.remove(number);
-            eventListener.accept(new NetworkEvent.SocketClosed(number, reset));
+            openSockets.remove(socket);
+            eventListener.accept(new NetworkEvent.SocketClosed(socket, reset));
         }
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/wire/SocketManagerTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/SocketManagerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Real sockets on loopback against stand-ins of the test's own. */
+/** {@link SocketManager} and {@link RosterWatcher} on loopback, against plain sockets that the tests open. */
 class SocketManagerTest {
     private final Vertx vertx =
             Vertx.builder().withTransport(new SingleEventLoopTransport()).build();
@@ -33,7 +33,7 @@
         vertx.close();
     }
 
-    /** The next that is heard, or null where nothing comes. */
+    /** Waits for the next event; null if none comes within 10 s. */
     private NetworkEvent pollEvent() throws InterruptedException {
         return events.poll(10, TimeUnit.SECONDS);
     }
@@ -42,11 +42,13 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void execute(NetworkCommand ask) {
-        vertx.runOnContext(v -> sockets.execute(ask));
+    /** Executes the command on the event loop, without waiting for it. */
+    private void execute(NetworkCommand command) {
+        vertx.runOnContext(v -> sockets.execute(command));
     }
 
-    private Socket client() throws Exception {
+    /** Starts to listen and connects the first client, whose socket number is 1. */
+    private Socket connectClient() throws Exception {
         int port = sockets.listen("127.0.0.1", 0)
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -56,12 +58,13 @@
         return client;
     }
 
+    /** TCP may split a line anywhere. A client that closed its sending direction must still get its answer. */
     @Test
     void decodesFragmentedLinesAndReportsHalfClose() throws Exception {
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             OutputStream out = client.getOutputStream();
-            for (String piece : new String[] {"PI", "NG\r", "\nPING\r\nPING\r\nP"}) {
-                out.write(bytes(piece));
+            for (String chunk : new String[] {"PI", "NG\r", "\nPING\r\nPING\r\nP"}) {
+                out.write(bytes(chunk));
                 out.flush();
             }
             for (int i = 0; i < 3; i++) {
@@ -78,9 +81,10 @@
         }
     }
 
+    /** A line without end must not fill the memory, and a reset must not be reported as a normal close. */
     @Test
     void reportsFramingErrorForOverlongLineAndDistinguishesReset() throws Exception {
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             client.getOutputStream().write(new byte[5000]);
             assertThat(pollEvent()).isEqualTo(new NetworkEvent.FramingError(1));
             client.setSoLinger(true, 0);
@@ -88,32 +92,38 @@
         assertThat(pollEvent()).isEqualTo(new NetworkEvent.SocketClosed(1, true));
     }
 
+    /**
+     * If connections were accepted on another thread, they would use up the file descriptors while the event loop is
+     * too busy to reject them. The 40 clients of this test take 40 descriptors; accepting them would take 40 more.
+     */
     @Test
     void acceptsNoConnectionWhileEventLoopIsBusy() throws Exception {
-        UnixOperatingSystemMXBean system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+        UnixOperatingSystemMXBean operatingSystem =
+                (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         int port = sockets.listen("127.0.0.1", 0)
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
-        CountDownLatch started = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         vertx.runOnContext(v -> {
-            started.countDown();
+            blocked.countDown();
             try {
-                free.await(10, TimeUnit.SECONDS);
+                unblock.await(10, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        started.await(10, TimeUnit.SECONDS);
-        long before = system.getOpenFileDescriptorCount();
+        blocked.await(10, TimeUnit.SECONDS);
+        long descriptorsBefore = operatingSystem.getOpenFileDescriptorCount();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(new Socket(loopback, port));
         }
         Thread.sleep(300);
-        assertThat(system.getOpenFileDescriptorCount() - before).isLessThan(60);
-        free.countDown();
+        assertThat(operatingSystem.getOpenFileDescriptorCount() - descriptorsBefore)
+                .isLessThan(60);
+        unblock.countDown();
         for (int i = 1; i <= 40; i++) {
             assertThat(pollEvent()).isEqualTo(new NetworkEvent.ClientAccepted(i));
         }
@@ -122,27 +132,32 @@
         }
     }
 
+    /**
+     * The outcome of a failed dispatch depends on whether its first line was written, so each step must be reported in
+     * order.
+     */
     @Test
     void reportsProgressOfBackendConnection() throws Exception {
         try (ServerSocket backend = new ServerSocket(0, 5, loopback)) {
             execute(new NetworkCommand.Connect(-1, "127.0.0.1:" + backend.getLocalPort(), bytes("OPEN\r\n")));
-            try (Socket up = backend.accept()) {
+            try (Socket connection = backend.accept()) {
                 assertThat(pollEvent()).isEqualTo(new NetworkEvent.BackendConnected(-1));
                 assertThat(pollEvent()).isEqualTo(new NetworkEvent.FirstLineWritten(-1));
-                assertThat(up.getInputStream().readNBytes(6)).isEqualTo(bytes("OPEN\r\n"));
-                up.getOutputStream().write(bytes("UP 1\r\nLOAD 7.5\r\n"));
+                assertThat(connection.getInputStream().readNBytes(6)).isEqualTo(bytes("OPEN\r\n"));
+                connection.getOutputStream().write(bytes("UP 1\r\nLOAD 7.5\r\n"));
                 assertThat(((NetworkEvent.BackendMessageReceived) pollEvent()).message())
                         .isInstanceOf(BackendMessage.Up.class);
                 BackendMessage load = ((NetworkEvent.BackendMessageReceived) pollEvent()).message();
                 assertThat(((BackendMessage.Load) load).microsPerSecond()).isEqualTo(7.5);
                 execute(new NetworkCommand.ShutdownOutput(-1));
-                InputStream in = up.getInputStream();
+                InputStream in = connection.getInputStream();
                 assertThat(in.read()).isEqualTo(-1);
             }
             assertThat(pollEvent()).isEqualTo(new NetworkEvent.InputShutdown(-1));
         }
     }
 
+    /** Without the event, a dispatch to a backend that refuses connections, or has a malformed address, never ends. */
     @Test
     void reportsResetForRefusedConnectionAndInvalidAddress() throws Exception {
         int port;
@@ -157,32 +172,36 @@
         }
     }
 
+    /** A roster service that vanishes closes nothing; without a timeout, the relay would keep an outdated roster. */
     @Test
     void idleWatchFailsBeforeTwoHeartbeatsAreMissed() throws Exception {
         try (ServerSocket service = new ServerSocket(0, 5, loopback)) {
-            RosterWatcher watch = new RosterWatcher(vertx, events::add);
-            vertx.runOnContext(v -> watch.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
-            try (Socket call = service.accept()) {
-                call.getOutputStream().write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
+            RosterWatcher watcher = new RosterWatcher(vertx, events::add);
+            vertx.runOnContext(v -> watcher.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
+            try (Socket connection = service.accept()) {
+                connection
+                        .getOutputStream()
+                        .write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
                 assertThat(events.poll(4, TimeUnit.SECONDS)).isEqualTo(new NetworkEvent.RosterWatchFailed("silent"));
             }
         }
     }
 
+    /** HTTP chunks may split a message anywhere; the end of the response must end the watch. */
     @Test
     void watchDecodesFragmentedMessagesAndReportsEnd() throws Exception {
         try (ServerSocket service = new ServerSocket(0, 5, loopback)) {
-            RosterWatcher watch = new RosterWatcher(vertx, events::add);
-            vertx.runOnContext(v -> watch.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
-            try (Socket call = service.accept()) {
+            RosterWatcher watcher = new RosterWatcher(vertx, events::add);
+            vertx.runOnContext(v -> watcher.watch(new Address("127.0.0.1", service.getLocalPort()), 41));
+            try (Socket connection = service.accept()) {
                 byte[] request = new byte[42];
-                call.getInputStream().readNBytes(request, 0, 42);
+                connection.getInputStream().readNBytes(request, 0, 42);
                 assertThat(new String(request, StandardCharsets.UTF_8))
                         .startsWith("GET /v1/endpoints?stream=1&index=41 ");
-                OutputStream out = call.getOutputStream();
-                String one = "{\"index\":42,\"endpoints\":[]}\n";
-                String body = "\n" + one.substring(0, 9) + "|" + one.substring(9) + one.substring(0, 5) + "|"
-                        + one.substring(5);
+                OutputStream out = connection.getOutputStream();
+                String message = "{\"index\":42,\"endpoints\":[]}\n";
+                String body = "\n" + message.substring(0, 9) + "|" + message.substring(9) + message.substring(0, 5)
+                        + "|" + message.substring(5);
                 out.write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
                 for (String chunk : body.split("\\|")) {
                     out.write(bytes(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n"));
