--- a/relay/src/main/java/ambertrestle/relay/connection/BackendDirectory.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/BackendDirectory.java
@@ -10,60 +10,77 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** The roster's names turned into the module's ids, alike at every relay, and into this relay's addresses. */
+/**
+ * Translates roster entries for the balancing policy and maps backend ids to addresses. An id depends on the backend's
+ * name only, so it is the same at every relay.
+ */
 public final class BackendDirectory {
-    /** Each backend as it was last listed in use; the address of one that is gone is still wanted. */
+    private static final int NANOS_PER_MILLI = 1_000_000;
+
+    /**
+     * Latest entry by backend id, GONE entries excepted: connections may still need the address of a removed backend.
+     */
     private final Map<Long, RosterMessage.Entry> lastEntries = new HashMap<>();
 
     private final List<String> zones;
     private final List<String> machineTypes;
+    /** Version of the latest roster message; -1 requests the complete roster with the next watch. */
     long rosterVersion = -1;
 
-    BackendDirectory(List<String> zones, List<String> types) {
+    BackendDirectory(List<String> zones, List<String> machineTypes) {
         this.zones = zones;
-        this.machineTypes = types;
+        this.machineTypes = machineTypes;
     }
 
-    /** The module's id of a backend. */
+    /** Returns the id under which the balancing policy knows the backend with this name. */
     public static long backendId(String name) {
         return RosterMessage.backendId(name);
     }
 
+    /**
+     * Records the message's version and entries and returns the entries in the balancing policy's form. An unknown zone
+     * or machine type gets index 0.
+     */
     List<RosterEntry> update(RosterMessage message) {
         rosterVersion = message.version();
-        List<RosterEntry> listed = new ArrayList<>();
-        for (RosterMessage.Entry line : message.entries()) {
-            long id = backendId(line.name());
-            if (line.stage() != Stage.GONE) {
-                lastEntries.put(id, line);
+        List<RosterEntry> rosterEntries = new ArrayList<>();
+        for (RosterMessage.Entry entry : message.entries()) {
+            long id = backendId(entry.name());
+            if (entry.stage() != Stage.GONE) {
+                lastEntries.put(id, entry);
             }
-            listed.add(new RosterEntry(
+            rosterEntries.add(new RosterEntry(
                     id,
-                    line.stage(),
-                    line.startedAtMillis() * 1_000_000,
-                    line.cell(),
-                    line.weight(),
-                    Math.max(0, zones.indexOf(line.zone())),
-                    Math.max(0, machineTypes.indexOf(line.type()))));
+                    entry.stage(),
+                    entry.startedAtMillis() * NANOS_PER_MILLI,
+                    entry.cell(),
+                    entry.weight(),
+                    Math.max(0, zones.indexOf(entry.zone())),
+                    Math.max(0, machineTypes.indexOf(entry.type()))));
         }
-        return listed;
+        return rosterEntries;
     }
 
-    /** Danger: in a whole list one faulty entry would pass for a backend that is gone; what was known of it stands. */
-    RosterMessage withLastKnownEntries(RosterMessage message, Set<String> names) {
-        if (!message.isComplete() || names.isEmpty()) {
+    /**
+     * Adds the last known entries of the named backends, whose new entries are faulty, to a complete roster. Without
+     * this, one faulty entry would remove its backend, because a complete roster removes all backends that it doesn't
+     * list. An update that lists changes only is returned as it is.
+     */
+    RosterMessage withLastKnownEntries(RosterMessage message, Set<String> faultyNames) {
+        if (!message.isComplete() || faultyNames.isEmpty()) {
             return message;
         }
-        List<RosterMessage.Entry> lines = new ArrayList<>(message.entries());
-        names.stream()
+        List<RosterMessage.Entry> entries = new ArrayList<>(message.entries());
+        faultyNames.stream()
                 .map(name -> lastEntries.get(backendId(name)))
                 .filter(Objects::nonNull)
-                .forEach(lines::add);
-        return new RosterMessage(message.version(), true, lines);
+                .forEach(entries::add);
+        return new RosterMessage(message.version(), true, entries);
     }
 
-    String addressOf(long backend) {
-        RosterMessage.Entry line = lastEntries.get(backend);
-        return line == null ? null : line.address();
+    /** Returns the last known address, also of a backend that is gone; null if it was never listed. */
+    String addressOf(long backendId) {
+        RosterMessage.Entry entry = lastEntries.get(backendId);
+        return entry == null ? null : entry.address();
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/BackendLatencyTracker.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/BackendLatencyTracker.java
@@ -4,62 +4,77 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How long messages take at each backend, measured from the lines that pass, and told to the module. */
+/**
+ * Measures how long each backend takes to answer a line and reports slow backends to the balancing policy. Times are in
+ * nanoseconds.
+ */
 final class BackendLatencyTracker {
+    /** Time between two calls of {@link #report}. */
     static final long REPORT_INTERVAL_NANOS = 500_000_000L;
 
+    /** Measurements of one backend since the last report. */
     private static final class LatencyWindow {
-        double sum;
+        double totalLatency;
+        /** Number of latencies in {@link #totalLatency}. */
         int count;
-        /** The longest that a line waits, and how many connections have one that waits. */
+        /** Longest time that a line has been waiting for its answer. */
         long longestWait;
-
-        int waitingConnections;
-        boolean isReported;
+        /** Number of connections whose oldest unanswered line has waited longer than the threshold. */
+        int waitingConnectionCount;
+        /** The last report exceeded the threshold, so one more is due when the latency is back to normal. */
+        boolean wasReported;
     }
 
-    private final Map<Long, LatencyWindow> backends = new TreeMap<>();
+    private final Map<Long, LatencyWindow> windowsByBackend = new TreeMap<>();
+    /** Mean latency above which a backend is reported. */
     private final long reportThreshold;
 
-    /** `worthTelling`: a third of the shortest goal time of a message. */
-    BackendLatencyTracker(long worthTelling) {
-        this.reportThreshold = worthTelling;
+    /** @param reportThreshold a third of the shortest goal time of a message, in nanoseconds */
+    BackendLatencyTracker(long reportThreshold) {
+        this.reportThreshold = reportThreshold;
     }
 
-    void recordLatency(long backend, long took) {
-        LatencyWindow seen = backends.computeIfAbsent(backend, b -> new LatencyWindow());
-        seen.sum += took;
-        seen.count++;
+    /** Adds the latency of one line to the backend's current window. */
+    void recordLatency(long backendId, long latency) {
+        LatencyWindow window = windowsByBackend.computeIfAbsent(backendId, id -> new LatencyWindow());
+        window.totalLatency += latency;
+        window.count++;
     }
 
-    /** Twice a second: the mean of the lines that came back, and of those that wait longer than is worth telling. */
+    /**
+     * Reports the mean latency of each backend that is above the threshold, or was at the last report, and starts a new
+     * window. Called twice a second. The mean covers answered lines and, for each open connection, its oldest
+     * unanswered line if that has waited longer than the threshold.
+     */
     void report(Iterable<Connection> connections, BalancingPolicy balancer, long now) {
-        for (Connection c : connections) {
-            if (c.state == Connection.State.OPEN
-                    && !c.unansweredSentAt.isEmpty()
-                    && now - c.unansweredSentAt.peek() > reportThreshold) {
-                long waits = now - c.unansweredSentAt.peek();
-                recordLatency(c.backendId, waits);
-                LatencyWindow seen = backends.get(c.backendId);
-                seen.waitingConnections++;
-                seen.longestWait = Math.max(seen.longestWait, waits);
+        for (Connection connection : connections) {
+            if (connection.state == Connection.State.OPEN
+                    && !connection.unansweredSentAt.isEmpty()
+                    && now - connection.unansweredSentAt.peek() > reportThreshold) {
+                long waitTime = now - connection.unansweredSentAt.peek();
+                recordLatency(connection.backendId, waitTime);
+                LatencyWindow window = windowsByBackend.get(connection.backendId);
+                window.waitingConnectionCount++;
+                window.longestWait = Math.max(window.longestWait, waitTime);
             }
         }
-        backends.forEach((backend, seen) -> {
-            if (seen.count > 0) {
-                // Danger: where nothing at all comes back, the mean of short waits would hide for seconds that it
-                // hangs.
-                boolean silent = seen.waitingConnections == seen.count && seen.waitingConnections > 1;
-                double mean = silent ? seen.longestWait : seen.sum / seen.count;
-                if (mean > reportThreshold || seen.isReported) {
-                    balancer.onDelayReport(backend, (long) mean, now);
+        windowsByBackend.forEach((backendId, window) -> {
+            if (window.count > 0) {
+                // If no line was answered and several connections wait, the backend probably hangs. The longest wait
+                // is reported then, because a mean lowered by lines that were sent recently would delay detection by
+                // seconds.
+                boolean isUnresponsive =
+                        window.waitingConnectionCount == window.count && window.waitingConnectionCount > 1;
+                double mean = isUnresponsive ? window.longestWait : window.totalLatency / window.count;
+                if (mean > reportThreshold || window.wasReported) {
+                    balancer.onDelayReport(backendId, (long) mean, now);
                 }
-                seen.isReported = mean > reportThreshold;
+                window.wasReported = mean > reportThreshold;
             }
-            seen.sum = 0;
-            seen.count = 0;
-            seen.longestWait = 0;
-            seen.waitingConnections = 0;
+            window.totalLatency = 0;
+            window.count = 0;
+            window.longestWait = 0;
+            window.waitingConnectionCount = 0;
         });
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/Connection.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Connection.java
@@ -4,55 +4,64 @@
 import ambertrestle.relay.wire.ClientMessage;
 import java.util.ArrayDeque;
 
-/** One client's connection, and the backend's that serves it. Times in nanoseconds. */
+/**
+ * State of one client connection and of the backend connection that serves it. All times are in nanoseconds on the
+ * clock of the events that {@link Reducer#apply} receives. Only {@link Reducer} and {@link ConnectionTimers} change it.
+ */
 final class Connection {
     enum State {
-        /** Nothing was asked yet. */
+        /** The client is connected and has not sent a valid OPEN line yet. It may have sent PING. */
         AWAITING_OPEN,
-        /** Its association is with the module: waiting, or a dispatch is out. */
+        /** The client waits for an answer: no backend is chosen yet, or a dispatch is in flight. */
         DISPATCHING,
-        /** Up at a backend; lines pass. */
+        /** A backend accepted the connection; lines are forwarded in both directions. */
         OPEN,
-        /** The final answer is given or the end is passed on; only sockets are left. */
+        /** The final answer was sent or one side closed; only the sockets remain to be closed. */
         CLOSING
     }
 
+    /** Number of the client's socket; above 0. */
     final long clientSocket;
+
     State state = State.AWAITING_OPEN;
+    /** The client's socket is closed; no command may be sent to it. */
     boolean isClientClosed;
+    /** The client sent PING; a second one is a protocol violation. */
     boolean hasPinged;
+    /** The request as the balancing policy sees it; null before OPEN. */
     Association association;
+    /** The decoded OPEN line; null before OPEN. */
     ClientMessage.OpenRequest openRequest;
-    /**
-     * The dispatch that is out: its socket, 0 while none; `handed`: its line is with the socket; `written`: it is out.
-     */
+    /** Number of the socket to the backend, below 0; 0 if there is none. */
     long backendSocket;
-
+    /** Index of the latest dispatch within the association; unused for a resumption. */
     int dispatchIndex;
+    /** The backend of the latest dispatch, or the one that a resumption returns to. */
     long backendId;
+    /** When the latest dispatch began; for a resumption, when the OPEN line arrived. */
     long dispatchedAt;
-    /**
-     * How long its backend has for an answer, from when the line was handed to its socket; `over`: that was up once.
-     */
+    /** How long the backend may take to answer, counted from the time its socket connected. */
     long responseTimeout;
-
+    /** The timeout of the current dispatch expired and was extended once, so that input already received is read. */
     boolean hasTimedOutOnce;
+    /** The backend's socket is connected and the first line was passed to it for writing. */
     boolean isFirstLineQueued;
+    /** The first line was written to the backend's socket completely. */
     boolean isFirstLineWritten;
-    /** It was open at that backend before this relay started, and goes back there. */
+    /** The connection was open at a backend before this relay started and returns to that backend. */
     boolean isResumption;
-    /** The backend said that the connection is served to its end, or sent the client away. */
+    /** The backend sent BYE: it served the connection to its end. */
     boolean hasReceivedBye;
-
+    /** The backend sent MOVE: it told the client to reconnect elsewhere. */
     boolean hasReceivedMove;
-    /** Lines that came before the connection was up. */
+    /** Lines that the client sent before the connection was open, in order. */
     final ArrayDeque<byte[]> bufferedLines = new ArrayDeque<>();
-    /** When the client's lines that brought nothing back yet were passed on, oldest first. */
+    /** When each of the client's lines that is still unanswered was forwarded, oldest first. */
     final ArrayDeque<Long> unansweredSentAt = new ArrayDeque<>();
-
+    /** The pending timer; null if there is none. Set by {@link ConnectionTimers} only. */
     ConnectionTimers.Timer timer;
 
-    Connection(long client) {
-        this.clientSocket = client;
+    Connection(long clientSocket) {
+        this.clientSocket = clientSocket;
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/Effect.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Effect.java
@@ -5,22 +5,33 @@
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.Map;
 
-/** All that the reducer can ask for. */
+/** The outputs of {@link Reducer#apply}, to be executed in order. */
 public sealed interface Effect {
+    /** Executes a command on a socket or on the roster watch. */
     record ExecuteCommand(NetworkCommand command) implements Effect {}
 
-    /** Instead of any earlier time. */
+    /**
+     * Sets the relay's only timer and replaces the previous one.
+     *
+     * @param time when {@link Event.TimerFired} is due, in nanoseconds on the reducer's clock
+     */
     record ScheduleTimer(long time) implements Effect {}
 
-    /** A line of the log: what happened, in words, and to whom by name. */
+    /**
+     * Writes a line to the log.
+     *
+     * @param event name of the log event
+     * @param text the message
+     * @param fields further fields by name, such as the association and the backend; may be empty
+     */
     record WriteLog(String event, String text, Map<String, String> fields) implements Effect {}
 
-    /** A part of what the module would keep beyond this process. */
+    /** Persists the changes to the learned state since the previous part. */
     record PersistLearnedState(LearnedState part) implements Effect {}
 
-    /** The roster service said this, and it was taken. */
+    /** Persists a roster message that the relay received and accepted. */
     record PersistRoster(RosterMessage message) implements Effect {}
 
-    /** All is settled; the program may end. */
+    /** No association is left after a shutdown request; the process may exit. */
     record Stop() implements Effect {}
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/PlacementPreview.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/PlacementPreview.java
@@ -9,38 +9,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where a relay that has just started, with this roster, would send a key: each key as if it were the first. */
+/**
+ * Computes which backend a newly started relay with a given roster would select for a key. Each key is placed as if it
+ * were the relay's first.
+ */
 public final class PlacementPreview {
+    /** Cut-off of the associations used as probes; any time in the future will do. */
     private static final long ASSOCIATION_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final ReducerConfiguration configuration;
-    private final List<RosterEntry> listedBackends;
+    private final List<RosterEntry> rosterEntries;
     private final Map<Long, String> backendNames = new HashMap<>();
-    private final long now;
+    private final long nowNanos;
+    /** Some backend has a known start time and may therefore be in slow start. */
     private final boolean hasColdBackend;
+    /** Null until the first key is placed. */
     private Balancer balancer;
+
     private long lastAssociationId;
 
-    /** `now`: Unix time in nanoseconds, from which the ages of backends count. */
-    public PlacementPreview(ReducerConfiguration values, RosterMessage roster, long now) {
-        this.configuration = values;
-        this.now = now;
-        listedBackends = new BackendDirectory(values.zones(), values.machineTypes()).update(roster);
-        roster.entries().forEach(line -> backendNames.put(BackendDirectory.backendId(line.name()), line.name()));
-        hasColdBackend = listedBackends.stream().anyMatch(l -> l.startedAt() != 0);
+    /** @param nowNanos Unix time in nanoseconds, against which the backends' start times are compared */
+    public PlacementPreview(ReducerConfiguration configuration, RosterMessage roster, long nowNanos) {
+        this.configuration = configuration;
+        this.nowNanos = nowNanos;
+        rosterEntries = new BackendDirectory(configuration.zones(), configuration.machineTypes()).update(roster);
+        roster.entries().forEach(entry -> backendNames.put(BackendDirectory.backendId(entry.name()), entry.name()));
+        hasColdBackend = rosterEntries.stream().anyMatch(entry -> entry.startedAt() != 0);
     }
 
-    /** The backend's name, or null where nothing listed takes it. */
+    /** Returns the name of the selected backend, or null if no listed backend can take the key. */
     public String selectBackend(long key) {
-        // Danger: what one key takes of a cold backend's budget would send the next key elsewhere.
+        // Each placement uses up part of a cold backend's load limit. With a shared balancer an earlier key could
+        // push a later one to another backend, so a cold backend calls for a new balancer per key.
         if (balancer == null || hasColdBackend) {
-            balancer = new Balancer(configuration.settings(), configuration.seed(), now);
-            balancer.onRosterUpdate(listedBackends, true, false, now);
+            balancer = new Balancer(configuration.settings(), configuration.seed(), nowNanos);
+            balancer.onRosterUpdate(rosterEntries, true, false, nowNanos);
         }
-        Association a =
-                new Association(++lastAssociationId, 0, 0, key, key, now + ASSOCIATION_TIMEOUT_NANOS, 0, false, false);
-        Decision answer = balancer.selectBackend(a, now);
-        balancer.onClientDisconnected(a, now);
-        return answer.kind == Decision.Kind.SEND ? backendNames.get(answer.backend) : null;
+        Association association = new Association(
+                ++lastAssociationId, 0, 0, key, key, nowNanos + ASSOCIATION_TIMEOUT_NANOS, 0, false, false);
+        Decision decision = balancer.selectBackend(association, nowNanos);
+        balancer.onClientDisconnected(association, nowNanos);
+        return decision.kind == Decision.Kind.SEND ? backendNames.get(decision.backend) : null;
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/ReconnectionTracker.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/ReconnectionTracker.java
@@ -3,33 +3,39 @@
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
 
-/** Who came back lately from a relay other than this one: many at once show that another one is away. */
+/** Counts clients that recently reconnected from another relay. Many of them indicate that another relay is down. */
 final class ReconnectionTracker {
-    /** As long as a relay is away at a planned restart. */
+    /** How long a relay is down at a planned restart. */
     private static final long WINDOW_NANOS = 6_000_000_000L;
 
-    /** Clients whose connections ended here by move or break, and when. */
+    /** When a client's connection at this relay was moved or ended by its backend, by client key, oldest first. */
     private final LinkedHashMap<Long, Long> endedHereAt = new LinkedHashMap<>();
 
-    private final ArrayDeque<Long> arrivalsFromOtherRelays = new ArrayDeque<>();
+    /** When clients arrived that reconnected from another relay, oldest first. */
+    private final ArrayDeque<Long> arrivedFromOtherRelaysAt = new ArrayDeque<>();
 
-    void onConnectionEnded(long client, long now) {
-        endedHereAt.remove(client);
-        endedHereAt.put(client, now);
-        endedHereAt.values().removeIf(at -> now - at > WINDOW_NANOS);
+    /** Records that the client's connection ended here, so that its return isn't attributed to another relay. */
+    void onConnectionEnded(long clientKey, long now) {
+        endedHereAt.remove(clientKey);
+        endedHereAt.put(clientKey, now);
+        endedHereAt.values().removeIf(endedAt -> now - endedAt > WINDOW_NANOS);
     }
 
-    void onClientReturned(long client, long now) {
-        if (endedHereAt.remove(client) == null) {
-            arrivalsFromOtherRelays.add(now);
+    /** Records a client that reconnects; it came from another relay unless its connection ended here recently. */
+    void onClientReturned(long clientKey, long now) {
+        if (endedHereAt.remove(clientKey) == null) {
+            arrivedFromOtherRelaysAt.add(now);
         }
     }
 
-    /** At least a third of the connections open here came lately from another relay. */
-    boolean hasManyFromOtherRelays(int open, long now) {
-        while (!arrivalsFromOtherRelays.isEmpty() && now - arrivalsFromOtherRelays.peek() > WINDOW_NANOS) {
-            arrivalsFromOtherRelays.poll();
+    /**
+     * Returns true if the clients that arrived from other relays within the last six seconds number more than a third
+     * of this relay's associations.
+     */
+    boolean hasManyFromOtherRelays(int associationCount, long now) {
+        while (!arrivedFromOtherRelaysAt.isEmpty() && now - arrivedFromOtherRelaysAt.peek() > WINDOW_NANOS) {
+            arrivedFromOtherRelaysAt.poll();
         }
-        return arrivalsFromOtherRelays.size() * 3 > open;
+        return arrivedFromOtherRelaysAt.size() * 3 > associationCount;
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/Reducer.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Reducer.java
@@ -25,115 +25,188 @@
 import java.util.TreeMap;
 
 /**
- * The one place where a relay's state changes: an event and the time go in, effects come out. It asks the module as the
- * simulator's host does and decides no placement itself. No socket, no clock, no thread.
+ * The state machine of a relay. {@link #apply} takes an event and the current time, changes the state and returns the
+ * effects to execute: commands to sockets, log lines, the next timer. All connection state of a relay changes here and
+ * nowhere else. The class uses no socket, clock or thread. The balancing policy makes all placement decisions.
+ *
+ * <p>The life of a connection (see {@link Connection.State}):
+ *
+ * <ol>
+ *   <li>AWAITING_OPEN: the client's socket was accepted. The client has two seconds to send its OPEN line; a PING is
+ *       answered once. Invalid lines are answered ERR. If sockets run short, the oldest connection in this state is
+ *       rejected with BUSY.
+ *   <li>DISPATCHING: a valid OPEN line created an association and the balancing policy was asked for a backend. Its
+ *       decision is a dispatch to a backend, a wait, or a final answer: BUSY if the association is shed, ERR if it is
+ *       forfeited. A dispatch connects to the backend and writes the OPEN line. If the dispatch fails or times out, its
+ *       outcome goes to the policy, which decides what follows. At most one dispatch is in flight. An OPEN line that
+ *       names its current backend (`at`) is a resumption: the relay reconnects to that backend without asking the
+ *       policy, and retries for 40 seconds. Lines that the client sends meanwhile are buffered.
+ *   <li>OPEN: the backend answered UP. UP and then the buffered lines are passed on, and from now on lines pass in both
+ *       directions under linked flow control. The backend's LOAD lines and the time that it takes to answer lines go to
+ *       the policy. A move (requested by the policy, because a line was unanswered for too long, or at shutdown) sends
+ *       MOVE to the client, which reconnects, and closes both sockets.
+ *   <li>CLOSING: the final answer was sent or one side closed. Pending output is flushed, then the sockets close; a
+ *       socket whose peer doesn't take its output in time is reset.
+ * </ol>
+ *
+ * <p>Accepted sockets have numbers from 1 upwards, sockets to backends from -1 downwards. All times are in nanoseconds
+ * on the caller's clock, which never goes back and reads like Unix time.
  */
 public final class Reducer {
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
-    /** Kept of the client's time for the way back of the answer. */
-    private static final long ANSWER_RETURN_NANOS = 20 * MS;
-    /** How long a connection may take over its first line, and how long it may stay on once it was told PONG. */
-    private static final long OPEN_TIMEOUT_NANOS = 2 * SECOND, PING_LINGER_NANOS = SECOND / 2;
-    /** How long one half of a connection may outlive the other, and what was written last its taker. */
-    private static final long HALF_CLOSED_TIMEOUT_NANOS = 10 * SECOND, CLOSE_TIMEOUT_NANOS = 3 * SECOND;
-    /** A standing connection is tried again this often. */
-    private static final long RESUMPTION_RETRY_NANOS = SECOND / 4, RESUMPTION_TIMEOUT_NANOS = 40 * SECOND;
-    /** New connections still come this long after the last one, once this relay is told to stop. */
-    private static final long SHUTDOWN_GRACE_NANOS = SECOND / 2;
-    /** The platform kills no sooner than this after it told a relay to stop, less the time to hand all over. */
-    private static final long MAX_SHUTDOWN_DELAY_NANOS = 3_200 * MS;
-
+    private static final int NANOS_PER_MICRO = 1_000;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
+
+    /** Part of the client's time limit that is reserved for the answer's way back to the client. */
+    private static final long ANSWER_RETURN_RESERVE_NANOS = 20 * NANOS_PER_MILLI;
+    /** Time limit for a client's OPEN line, counted from the accept. */
+    private static final long OPEN_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
+    /** How long a client may stay connected after PONG without sending OPEN. */
+    private static final long PING_LINGER_NANOS = NANOS_PER_SECOND / 2;
+    /** How long a half-open connection may last after one side ended its output. */
+    private static final long HALF_CLOSED_TIMEOUT_NANOS = 10 * NANOS_PER_SECOND;
+    /** How long a peer may take to receive the last output before its socket is reset. */
+    private static final long CLOSE_TIMEOUT_NANOS = 3 * NANOS_PER_SECOND;
+    /** Time between a failed attempt to resume a connection at its backend and the next. */
+    private static final long RESUMPTION_RETRY_NANOS = NANOS_PER_SECOND / 4;
+    /** How long attempts to resume a connection go on, counted from its OPEN line. */
+    private static final long RESUMPTION_TIMEOUT_NANOS = 40 * NANOS_PER_SECOND;
+    /** How long clients may still open connections after a shutdown request; each new one restarts the time. */
+    private static final long SHUTDOWN_GRACE_NANOS = NANOS_PER_SECOND / 2;
+    /**
+     * Latest start of the hand-over, counted from the shutdown request: the shortest time after which the platform
+     * kills a relay that was told to stop, less the time that the hand-over takes.
+     */
+    private static final long MAX_HAND_OVER_DELAY_NANOS = 3_200 * NANOS_PER_MILLI;
+    /** Time between two batches of the hand-over. */
+    private static final long HAND_OVER_INTERVAL_NANOS = SHUTDOWN_GRACE_NANOS / 8;
+    /** Each batch of the hand-over moves the open connections divided by this number. */
+    private static final int HAND_OVER_BATCH_DIVISOR = 4;
+    /** Minimum number of connections in a batch of the hand-over; fewer only if fewer are open. */
+    private static final int MIN_HAND_OVER_BATCH = 4;
+    /** Limit on the lines that are buffered for a client whose connection isn't open yet. */
     private static final int MAX_BUFFERED_LINES = 16;
-    private static final long STALL_THRESHOLD_NANOS = SECOND / 5;
-    /** A client's line that brought nothing back for so long has met a connection that is dead. */
-    private static final long UNANSWERED_LINE_TIMEOUT_NANOS = 5 * SECOND;
-    /** The part of the sockets that those may hold who have opened nothing yet. */
+    /** Limit on the unanswered lines whose times are recorded per connection. */
+    private static final int MAX_TRACKED_LINES = 64;
+    /** Delay of the periodic checks above which this relay counts as stalled. */
+    private static final long STALL_THRESHOLD_NANOS = NANOS_PER_SECOND / 5;
+    /** A connection whose oldest unanswered line is older than this is taken for dead and moved. */
+    private static final long UNANSWERED_LINE_TIMEOUT_NANOS = 5 * NANOS_PER_SECOND;
+    /** Clients that haven't sent OPEN may hold at most the limit on sockets divided by this number. */
     private static final int AWAITING_OPEN_DIVISOR = 6;
-    /** Danger: taking all that is learned at once would hold up the loop; so much takes well under a millisecond. */
+    /** Lower bound of the limit on clients that haven't sent OPEN. */
+    private static final int MIN_AWAITING_OPEN_LIMIT = 8;
+    /**
+     * Limit on the values of learned state that are taken at a time. This takes well under a millisecond; taking all
+     * values at once would block the event loop.
+     */
     private static final int LEARNED_STATE_PART_SIZE = 1024;
 
-    private static final byte[] PONG = encodeLine("PONG"),
-            ERR = encodeLine("ERR"),
-            BUSY = encodeLine("BUSY"),
-            MOVE = encodeLine("MOVE");
+    private static final byte[] PONG = encodeLine("PONG");
+    private static final byte[] ERR = encodeLine("ERR");
+    private static final byte[] BUSY = encodeLine("BUSY");
+    private static final byte[] MOVE = encodeLine("MOVE");
 
     private final BalancingPolicy balancer;
     private final ReducerConfiguration configuration;
-    private final BackendDirectory backends;
+    private final BackendDirectory backendDirectory;
     private final BackendLatencyTracker latencies;
     private final ConnectionTimers timers = new ConnectionTimers();
+    /** Connections by the numbers of their sockets, both the client's and the backends'. */
     private final TreeMap<Long, Connection> bySocket = new TreeMap<>();
+    /** Connections in state DISPATCHING or OPEN. */
     private final Map<Association, Connection> byAssociation = new java.util.IdentityHashMap<>();
-    /** Those that have opened nothing yet, oldest first, and whose id is held here. */
+    /** Connections in state AWAITING_OPEN by the client's socket, oldest first. */
     private final TreeMap<Long, Connection> awaitingOpen = new TreeMap<>();
-
+    /** Connections in state DISPATCHING or OPEN by the id of their OPEN line; of several mid-flow ones the latest. */
     private final Map<Long, Connection> byAssociationId = new HashMap<>();
+
     private final RejectionCounter rejections = new RejectionCounter();
+    /** The effects of the current event, in order; a new list for each event. */
     private List<Effect> effects = new ArrayList<>();
-    private long lastDialledSocket;
-    /** Sockets that are held: accepted, dialled or up. */
+    /** Number of the latest socket to a backend; counts down from 0. */
+    private long lastBackendSocket;
+    /** Number of sockets in use, accepted ones and those to backends, including connects in progress. */
     private int socketCount;
-
+    /** When {@link #runPeriodicChecks} is due next. */
     private long nextPeriodicRunAt;
-    private long timerAt = Long.MAX_VALUE;
-    /** Where the roster service is, and whether it is watched: a watch that broke is asked for again in time. */
-    private Address rosterAddress;
+    /** Time of the latest {@link Effect.ScheduleTimer}; Long.MAX_VALUE before the first. */
+    private long scheduledWakeAt = Long.MAX_VALUE;
 
+    private Address rosterAddress;
+    /** A roster watch was requested and hasn't failed since. */
     private boolean isWatchActive;
+    /** A roster watch was requested at least once. */
     private boolean hasWatched;
+    /** Limit on {@link #socketCount}. */
     private int maxSockets;
+
     private final ReconnectionTracker reconnections = new ReconnectionTracker();
-    /** How far its start has come; null where nothing is kept. */
     private final InitialState initialState;
-
+    /** Progress of the start until the roster service's list is confirmed; null if persistence is off. */
     private final StartupProgress startupProgress;
-    private long shutdownRequestedAt, nextHandOverAt = Long.MAX_VALUE;
+    /** Time of the first shutdown request; 0 before. */
+    private long shutdownRequestedAt;
+    /** When the next batch of the hand-over is due; Long.MAX_VALUE before a shutdown request. */
+    private long nextHandOverAt = Long.MAX_VALUE;
+    /** {@link Effect.Stop} was emitted. */
     private boolean isStopped;
 
-    public Reducer(ReducerConfiguration values, RosterMessage known, long now) {
-        this(values, known, Balancer::new, now);
+    /** Creates a reducer with the relay configuration's roster, which may be empty, and without persistence. */
+    public Reducer(ReducerConfiguration configuration, RosterMessage knownRoster, long now) {
+        this(configuration, knownRoster, Balancer::new, now);
     }
 
-    /** With others in the module's place, to compare it with them. */
-    public Reducer(ReducerConfiguration values, RosterMessage known, BalancingPolicy.Factory decisions, long now) {
-        this(values, InitialState.fromConfiguration(known), false, decisions, now);
+    /** Creates a reducer with another balancing policy, for comparisons, without persistence. */
+    public Reducer(
+            ReducerConfiguration configuration,
+            RosterMessage knownRoster,
+            BalancingPolicy.Factory policyFactory,
+            long now) {
+        this(configuration, InitialState.fromConfiguration(knownRoster), false, policyFactory, now);
     }
 
-    /** `keeps`: what it learns is asked for by {@link Event.LearnedStateRequested}, and its start is told. */
+    /**
+     * Creates a reducer that starts from recovered state.
+     *
+     * @param isPersistenceEnabled restores the learned state of `initialState`, emits roster messages for persistence
+     *     and logs the progress of the start; {@link Event.LearnedStateRequested} then asks for the learned state
+     */
     public Reducer(
-            ReducerConfiguration values,
-            InitialState beginning,
-            boolean keeps,
-            BalancingPolicy.Factory decisions,
+            ReducerConfiguration configuration,
+            InitialState initialState,
+            boolean isPersistenceEnabled,
+            BalancingPolicy.Factory policyFactory,
             long now) {
-        this.configuration = values;
-        this.initialState = beginning;
-        startupProgress = keeps ? new StartupProgress(beginning, now) : null;
-        rosterAddress = values.rosterAddress();
-        maxSockets = values.maxSockets();
-        backends = new BackendDirectory(values.zones(), values.machineTypes());
-        balancer = decisions.create(values.settings(), values.seed(), now);
-        latencies = new BackendLatencyTracker(values.messageGoalTime() / 3);
+        this.configuration = configuration;
+        this.initialState = initialState;
+        startupProgress = isPersistenceEnabled ? new StartupProgress(initialState, now) : null;
+        rosterAddress = configuration.rosterAddress();
+        maxSockets = configuration.maxSockets();
+        backendDirectory = new BackendDirectory(configuration.zones(), configuration.machineTypes());
+        balancer = policyFactory.create(configuration.settings(), configuration.seed(), now);
+        latencies = new BackendLatencyTracker(configuration.messageGoalTime() / 3);
         nextPeriodicRunAt = now + BackendLatencyTracker.REPORT_INTERVAL_NANOS;
-        balancer.onRosterUpdate(backends.update(beginning.roster()), true, true, now);
-        if (keeps) {
-            balancer.restoreLearnedState(beginning.learnedState(), beginning.isRosterStale(), now);
-            // Danger: versions of another roster service mean nothing to this one; the whole list is asked for.
-            backends.rosterVersion = beginning.hasComparableVersions() ? backends.rosterVersion : -1;
+        balancer.onRosterUpdate(backendDirectory.update(initialState.roster()), true, true, now);
+        if (isPersistenceEnabled) {
+            balancer.restoreLearnedState(initialState.learnedState(), initialState.isRosterStale(), now);
+            // A version from another roster service means nothing to the current one, so -1 requests the complete
+            // roster.
+            backendDirectory.rosterVersion = initialState.hasComparableVersions() ? backendDirectory.rosterVersion : -1;
         }
     }
 
-    /** The one way in. */
+    /** Applies an event, then runs everything that is due. Returns the effects to execute, in order. */
     public List<Effect> apply(Event event, long now) {
         effects = new ArrayList<>();
-        if (event instanceof Event.NetworkEventReceived wire) {
-            onNetworkEvent(wire.networkEvent(), now);
-        } else if (event instanceof Event.ConfigurationReloaded reread) {
-            onConfigurationReloaded(reread, now);
+        if (event instanceof Event.NetworkEventReceived received) {
+            onNetworkEvent(received.networkEvent(), now);
+        } else if (event instanceof Event.ConfigurationReloaded reloaded) {
+            onConfigurationReloaded(reloaded, now);
         } else if (event instanceof Event.LearnedStateRequested) {
             effects.add(new Effect.PersistLearnedState(balancer.takeLearnedStateChanges(LEARNED_STATE_PART_SIZE, now)));
         } else if (event instanceof Event.ShutdownRequested) {
-            log("told-to-stop", "told to stop: settling " + byAssociation.size() + " associations");
+            log("told-to-stop", "shutdown requested: waiting for " + byAssociation.size() + " associations to end");
             shutdownRequestedAt = nextHandOverAt == Long.MAX_VALUE ? now : shutdownRequestedAt;
             nextHandOverAt = Math.min(nextHandOverAt, now + SHUTDOWN_GRACE_NANOS);
         }
@@ -141,515 +214,604 @@
         return effects;
     }
 
-    private void onNetworkEvent(NetworkEvent heard, long now) {
-        if (heard instanceof NetworkEvent.ClientAccepted e) {
-            onClientAccepted(e.socket(), now);
-        } else if (heard instanceof NetworkEvent.RosterReceived e) {
-            e.faultyEntries()
-                    .forEach((name, why) -> log("roster-entry-faulty", "an entry of the roster is left out: " + why));
+    /** Passes a network event to its handler. Events of sockets that belong to no connection any more are ignored. */
+    private void onNetworkEvent(NetworkEvent networkEvent, long now) {
+        if (networkEvent instanceof NetworkEvent.ClientAccepted event) {
+            onClientAccepted(event.socket(), now);
+        } else if (networkEvent instanceof NetworkEvent.RosterReceived event) {
+            event.faultyEntries()
+                    .forEach((name, reason) -> log("roster-entry-faulty", "faulty roster entry ignored: " + reason));
             onRosterMessage(
-                    backends.withLastKnownEntries(e.message(), e.faultyEntries().keySet()), now);
-        } else if (heard instanceof NetworkEvent.RosterWatchFailed e) {
-            log("roster-watch-broke", "roster watch broke: " + e.reason());
+                    backendDirectory.withLastKnownEntries(
+                            event.message(), event.faultyEntries().keySet()),
+                    now);
+        } else if (networkEvent instanceof NetworkEvent.RosterWatchFailed event) {
+            log("roster-watch-broke", "roster watch failed: " + event.reason());
             isWatchActive = false;
             if (startupProgress != null) {
                 startupProgress.onWatchEnded();
             }
             balancer.onRosterCallFailed(now);
-        } else if (heard instanceof NetworkEvent.ClientMessageReceived e) {
-            Connection c = bySocket.get(e.socket());
-            if (c != null) {
-                onClientMessage(c, e.message(), now);
+        } else if (networkEvent instanceof NetworkEvent.ClientMessageReceived event) {
+            Connection connection = bySocket.get(event.socket());
+            if (connection != null) {
+                onClientMessage(connection, event.message(), now);
             }
-        } else if (heard instanceof NetworkEvent.BackendMessageReceived e) {
-            Connection c = findByCurrentDispatch(e.socket());
-            if (c != null) {
-                onBackendMessage(c, e.message(), now);
+        } else if (networkEvent instanceof NetworkEvent.BackendMessageReceived event) {
+            Connection connection = findByCurrentDispatch(event.socket());
+            if (connection != null) {
+                onBackendMessage(connection, event.message(), now);
             }
-        } else if (heard instanceof NetworkEvent.BackendConnected e) {
-            Connection c = findByCurrentDispatch(e.socket());
-            if (c != null) {
-                c.isFirstLineQueued = true;
-                // Danger: with part of a core and a burst to serve, this relay's own delay would pass for its
-                // backend's.
-                scheduleDispatchTimeout(c, c.responseTimeout, now);
+        } else if (networkEvent instanceof NetworkEvent.BackendConnected event) {
+            Connection connection = findByCurrentDispatch(event.socket());
+            if (connection != null) {
+                connection.isFirstLineQueued = true;
+                // The backend's time starts only now. On a fraction of a core and under a burst, this relay's own delay
+                // before this point would otherwise be counted as the backend's latency.
+                scheduleDispatchTimeout(connection, connection.responseTimeout, now);
             }
-        } else if (heard instanceof NetworkEvent.FirstLineWritten e) {
-            Connection c = findByCurrentDispatch(e.socket());
-            if (c != null) {
-                c.isFirstLineWritten = true;
+        } else if (networkEvent instanceof NetworkEvent.FirstLineWritten event) {
+            Connection connection = findByCurrentDispatch(event.socket());
+            if (connection != null) {
+                connection.isFirstLineWritten = true;
             }
-        } else if (heard instanceof NetworkEvent.FramingError e) {
-            onFramingError(e.socket(), now);
-        } else if (heard instanceof NetworkEvent.InputShutdown e) {
-            onInputShutdown(e.socket(), now);
-        } else if (heard instanceof NetworkEvent.SocketClosed e) {
-            onSocketClosed(e.socket(), e.isReset(), now);
+        } else if (networkEvent instanceof NetworkEvent.FramingError event) {
+            onFramingError(event.socket(), now);
+        } else if (networkEvent instanceof NetworkEvent.InputShutdown event) {
+            onInputShutdown(event.socket(), now);
+        } else if (networkEvent instanceof NetworkEvent.SocketClosed event) {
+            onSocketClosed(event.socket(), event.isReset(), now);
         }
     }
 
-    /** The connection whose dispatch that is out has this socket; null for one given up. */
+    /** Returns the connection whose current backend socket this is; null if it was abandoned or closed. */
     private Connection findByCurrentDispatch(long socket) {
-        Connection c = bySocket.get(socket);
-        return c != null && c.backendSocket == socket ? c : null;
+        Connection connection = bySocket.get(socket);
+        return connection != null && connection.backendSocket == socket ? connection : null;
     }
 
-    /** All whose client's socket is held, oldest first; accepted sockets have the numbers above 0. */
+    /** Returns all connections whose client's socket isn't closed yet, oldest first. */
     private List<Connection> clientConnections() {
         return new ArrayList<>(bySocket.tailMap(0L).values());
     }
 
-    // ---- clients
+    // ---- Clients
 
+    /** Registers a connection in state AWAITING_OPEN; rejects the oldest such one if sockets run short. */
     private void onClientAccepted(long socket, long now) {
-        Connection c = new Connection(socket);
-        bySocket.put(socket, c);
+        Connection connection = new Connection(socket);
+        bySocket.put(socket, connection);
         socketCount++;
-        awaitingOpen.put(socket, c);
-        timers.schedule(c, now + OPEN_TIMEOUT_NANOS);
-        if (awaitingOpen.size() > Math.max(8, maxSockets / AWAITING_OPEN_DIVISOR) || socketCount > maxSockets) {
+        awaitingOpen.put(socket, connection);
+        timers.schedule(connection, now + OPEN_TIMEOUT_NANOS);
+        if (awaitingOpen.size() > Math.max(MIN_AWAITING_OPEN_LIMIT, maxSockets / AWAITING_OPEN_DIVISOR)
+                || socketCount > maxSockets) {
             rejectOldestAwaitingOpen(now);
         }
     }
 
-    /** Danger: clients that connect and say nothing would use up the descriptors; the oldest of them goes. */
+    /**
+     * Rejects the oldest connection in state AWAITING_OPEN with BUSY; returns false if there is none. Without this,
+     * clients that connect and send nothing would use up all file descriptors.
+     */
     private boolean rejectOldestAwaitingOpen(long now) {
         if (awaitingOpen.isEmpty()) {
             return false;
         }
-        reject(awaitingOpen.firstEntry().getValue(), "saying nothing while others come", BUSY, now);
+        reject(awaitingOpen.firstEntry().getValue(), "sending no OPEN line while sockets were short", BUSY, now);
         return true;
     }
 
-    private void reject(Connection c, Object why, byte[] last, long now) {
-        rejections.count(why);
-        sendFinalAnswer(c, last, now);
+    /** Counts a rejection under its reason, answers the client and closes the connection. */
+    private void reject(Connection connection, Object reason, byte[] finalLine, long now) {
+        rejections.count(reason);
+        sendFinalAnswer(connection, finalLine, now);
     }
 
-    private void onClientMessage(Connection c, ClientMessage line, long now) {
-        switch (c.state) {
+    /** Handles a line from a client according to the state of its connection. */
+    private void onClientMessage(Connection connection, ClientMessage message, long now) {
+        switch (connection.state) {
             case AWAITING_OPEN -> {
-                if (line instanceof ClientMessage.Ping && !c.hasPinged) {
-                    // Danger: those that ask once and stay would hold all descriptors.
-                    c.hasPinged = true;
-                    write(c.clientSocket, PONG);
-                    timers.schedule(c, Math.min(c.timer.expiresAt(), now + PING_LINGER_NANOS));
-                } else if (line instanceof ClientMessage.OpenRequest opening) {
-                    onOpenRequest(c, opening, now);
+                if (message instanceof ClientMessage.Ping && !connection.hasPinged) {
+                    // Clients that stay connected after their PING would use up all file descriptors, so the timer is
+                    // shortened.
+                    connection.hasPinged = true;
+                    write(connection.clientSocket, PONG);
+                    timers.schedule(connection, Math.min(connection.timer.expiresAt(), now + PING_LINGER_NANOS));
+                } else if (message instanceof ClientMessage.OpenRequest openRequest) {
+                    onOpenRequest(connection, openRequest, now);
                 } else {
                     reject(
-                            c,
-                            line instanceof ClientMessage.MalformedOpenRequest m
-                                    ? m.violation()
+                            connection,
+                            message instanceof ClientMessage.MalformedOpenRequest malformed
+                                    ? malformed.violation()
                                     : ProtocolViolation.OPEN_EXPECTED,
                             ERR,
                             now);
                 }
             }
             case DISPATCHING -> {
-                // Danger: a client that sends on and on before it is up would fill the memory.
-                if (line instanceof ClientMessage.Payload && c.bufferedLines.size() < MAX_BUFFERED_LINES) {
-                    c.bufferedLines.add(line.raw());
+                // Without a limit, a client that keeps sending before its connection is open would use up the memory.
+                if (message instanceof ClientMessage.Payload && connection.bufferedLines.size() < MAX_BUFFERED_LINES) {
+                    connection.bufferedLines.add(message.raw());
                 } else {
-                    onProtocolViolation(c, ProtocolViolation.COMMAND_BEFORE_ANSWER, now);
+                    onProtocolViolation(connection, ProtocolViolation.COMMAND_BEFORE_ANSWER, now);
                 }
             }
-            case OPEN -> forwardToBackend(c, line.raw(), now);
+            case OPEN -> forwardToBackend(connection, message.raw(), now);
             case CLOSING -> {}
         }
     }
 
-    /** A client that asked for something sound showed that it is none of ours before it was answered. */
-    private void onProtocolViolation(Connection c, ProtocolViolation why, long now) {
-        balancer.onClientDisconnected(c.association, now);
-        reject(c, why, ERR, now);
+    /** Rejects a client that sent a valid OPEN line but violated the protocol before it was answered. */
+    private void onProtocolViolation(Connection connection, ProtocolViolation violation, long now) {
+        balancer.onClientDisconnected(connection.association, now);
+        reject(connection, violation, ERR, now);
     }
 
-    private void onOpenRequest(Connection c, ClientMessage.OpenRequest opening, long now) {
-        Connection holder = byAssociationId.get(opening.id());
-        // Danger: backends refuse an id that is open, one after the other, and all of them would look ill.
-        if (holder != null && !(opening.isMidFlow() && holder.openRequest.clientKey() == opening.clientKey())) {
-            reject(c, ProtocolViolation.DUPLICATE_ID, ERR, now);
+    /**
+     * Handles a valid OPEN line: registers the association, moves the connection to DISPATCHING, and resumes it at its
+     * current backend or asks the balancing policy for a decision. A line whose id is in use is answered ERR, unless it
+     * is a mid-flow request of the same client. If no socket is free, the client is answered BUSY.
+     */
+    private void onOpenRequest(Connection connection, ClientMessage.OpenRequest openRequest, long now) {
+        Connection existing = byAssociationId.get(openRequest.id());
+        // Backends refuse an id that is already open. Without this check each dispatch would be refused by one backend
+        // after the other, and outlier detection would take all of them for faulty.
+        if (existing != null
+                && !(openRequest.isMidFlow() && existing.openRequest.clientKey() == openRequest.clientKey())) {
+            reject(connection, ProtocolViolation.DUPLICATE_ID, ERR, now);
             return;
         }
-        long wait = opening.timeoutMillis() >= 0
-                ? opening.timeoutMillis() * MS
-                : configuration.cutOffs().get(opening.useCase());
-        Association a = new Association(
-                opening.id(),
-                opening.useCase(),
-                opening.tenant(),
-                opening.clientKey(),
-                opening.groupKey(),
-                now + wait - ANSWER_RETURN_NANOS,
-                opening.loadEstimate() * 1000,
-                opening.isMidFlow(),
-                opening.isReconnect());
+        long timeoutNanos = openRequest.timeoutMillis() >= 0
+                ? openRequest.timeoutMillis() * NANOS_PER_MILLI
+                : configuration.cutOffs().get(openRequest.useCase());
+        Association association = new Association(
+                openRequest.id(),
+                openRequest.useCase(),
+                openRequest.tenant(),
+                openRequest.clientKey(),
+                openRequest.groupKey(),
+                now + timeoutNanos - ANSWER_RETURN_RESERVE_NANOS,
+                openRequest.loadEstimate() * NANOS_PER_MICRO,
+                openRequest.isMidFlow(),
+                openRequest.isReconnect());
         if (nextHandOverAt != Long.MAX_VALUE) {
             nextHandOverAt = Math.max(nextHandOverAt, now + SHUTDOWN_GRACE_NANOS);
         }
-        if (opening.isReconnect() || opening.isMidFlow()) {
-            reconnections.onClientReturned(opening.clientKey(), now);
-        }
-        c.association = a;
-        c.openRequest = opening;
-        c.state = State.DISPATCHING;
-        byAssociation.put(a, c);
-        byAssociationId.put(opening.id(), c);
-        awaitingOpen.remove(c.clientSocket);
-        timers.cancel(c);
-        if (opening.currentBackend() != null) {
-            c.isResumption = true;
-            c.dispatchedAt = now;
-            c.backendId = BackendDirectory.backendId(opening.currentBackend());
-            resume(c, now);
+        if (openRequest.isReconnect() || openRequest.isMidFlow()) {
+            reconnections.onClientReturned(openRequest.clientKey(), now);
+        }
+        connection.association = association;
+        connection.openRequest = openRequest;
+        connection.state = State.DISPATCHING;
+        byAssociation.put(association, connection);
+        byAssociationId.put(openRequest.id(), connection);
+        awaitingOpen.remove(connection.clientSocket);
+        timers.cancel(connection);
+        if (openRequest.currentBackend() != null) {
+            connection.isResumption = true;
+            connection.dispatchedAt = now;
+            connection.backendId = BackendDirectory.backendId(openRequest.currentBackend());
+            resume(connection, now);
         } else if (socketCount + 1 > maxSockets && !rejectOldestAwaitingOpen(now)) {
-            // Danger: past the limit of sockets a dispatch fails after it was counted; nothing has run yet.
-            balancer.onClientDisconnected(a, now);
-            reject(c, "want of sockets", BUSY, now);
+            // A dispatch beyond the limit on sockets would fail after the policy had counted it. Shedding is safe here,
+            // because nothing has run at a backend yet.
+            balancer.onClientDisconnected(association, now);
+            reject(connection, "lack of free sockets", BUSY, now);
         } else {
-            execute(c, balancer.selectBackend(a, now), now);
-        }
-    }
-
-    private void resume(Connection c, long now) {
-        String address = backends.addressOf(c.backendId);
-        if (address == null || now - c.dispatchedAt > RESUMPTION_TIMEOUT_NANOS) {
-            log("standing-lost", "a standing connection did not find its backend", c);
-            sendFinalAnswer(c, ERR, now);
+            execute(connection, balancer.selectBackend(association, now), now);
+        }
+    }
+
+    /**
+     * Reconnects a resumption to its backend with the client's OPEN line as received. If the backend's address is
+     * unknown or the resumption timeout is over, the client is answered ERR.
+     */
+    private void resume(Connection connection, long now) {
+        String address = backendDirectory.addressOf(connection.backendId);
+        if (address == null || now - connection.dispatchedAt > RESUMPTION_TIMEOUT_NANOS) {
+            log(
+                    "standing-lost",
+                    "connection not resumed: its backend is unknown or did not accept it within 40 s",
+                    connection);
+            sendFinalAnswer(connection, ERR, now);
             return;
         }
-        connectToBackend(c, address, c.openRequest.raw());
+        connectToBackend(connection, address, connection.openRequest.raw());
     }
 
-    private void forwardToBackend(Connection c, byte[] raw, long now) {
-        write(c.backendSocket, raw);
-        if (c.unansweredSentAt.size() < 64) {
-            c.unansweredSentAt.add(now);
+    /** Forwards a line to the backend and records its time until a line comes back. */
+    private void forwardToBackend(Connection connection, byte[] line, long now) {
+        write(connection.backendSocket, line);
+        if (connection.unansweredSentAt.size() < MAX_TRACKED_LINES) {
+            connection.unansweredSentAt.add(now);
         }
     }
 
-    /** The client is gone or counts as gone: nothing more is owed. */
-    private void onClientLeft(Connection c, long now) {
-        if (c.state == State.DISPATCHING || c.state == State.OPEN) {
-            deregister(c);
-            balancer.onClientDisconnected(c.association, now);
+    /** Ends a connection whose client is gone or is treated as gone: it gets no answer, and its sockets are closed. */
+    private void onClientLeft(Connection connection, long now) {
+        if (connection.state == State.DISPATCHING || connection.state == State.OPEN) {
+            deregister(connection);
+            balancer.onClientDisconnected(connection.association, now);
         }
-        closeSockets(c, now);
+        closeSockets(connection, now);
     }
 
-    // ---- answers of the module
+    // ---- Decisions of the balancing policy
 
-    private void execute(Connection c, Decision answer, long now) {
-        switch (answer.kind) {
+    /**
+     * Executes a decision: SEND starts a dispatch, WAIT sets a timer to ask the policy again, SHED answers BUSY (with
+     * the milliseconds after which to retry, if the decision has a time), FORFEIT answers ERR, NOTHING does nothing.
+     */
+    private void execute(Connection connection, Decision decision, long now) {
+        switch (decision.kind) {
             case SEND -> {
-                c.backendId = answer.backend;
-                c.dispatchIndex = c.association.dispatchCount - 1;
-                c.dispatchedAt = now;
-                c.responseTimeout = answer.time;
+                connection.backendId = decision.backend;
+                connection.dispatchIndex = connection.association.dispatchCount - 1;
+                connection.dispatchedAt = now;
+                connection.responseTimeout = decision.time;
                 connectToBackend(
-                        c,
-                        backends.addressOf(answer.backend),
-                        c.openRequest.encodeForBackend(Math.max(1, answer.time / MS)));
-                scheduleDispatchTimeout(c, Math.min(answer.time, configuration.connectTimeout()), now);
+                        connection,
+                        backendDirectory.addressOf(decision.backend),
+                        connection.openRequest.encodeForBackend(Math.max(1, decision.time / NANOS_PER_MILLI)));
+                scheduleDispatchTimeout(connection, Math.min(decision.time, configuration.connectTimeout()), now);
             }
-            case WAIT -> timers.schedule(c, answer.time);
-            case SHED -> sendFinalAnswer(c, answer.time > 0 ? encodeLine("BUSY " + answer.time / MS) : BUSY, now);
-            case FORFEIT -> sendFinalAnswer(c, ERR, now);
+            case WAIT -> timers.schedule(connection, decision.time);
+            case SHED -> sendFinalAnswer(
+                    connection, decision.time > 0 ? encodeLine("BUSY " + decision.time / NANOS_PER_MILLI) : BUSY, now);
+            case FORFEIT -> sendFinalAnswer(connection, ERR, now);
             case NOTHING -> {}
         }
     }
 
-    private void scheduleDispatchTimeout(Connection c, long time, long now) {
-        if (c.state == State.DISPATCHING && !c.isResumption) {
-            c.hasTimedOutOnce = false;
-            timers.schedule(c, Math.min(now + time, c.association.cutOffAt));
+    /**
+     * Sets the timeout of the current dispatch, at most up to the association's cut-off. Does nothing for a resumption
+     * or if the connection isn't in state DISPATCHING.
+     */
+    private void scheduleDispatchTimeout(Connection connection, long timeoutNanos, long now) {
+        if (connection.state == State.DISPATCHING && !connection.isResumption) {
+            connection.hasTimedOutOnce = false;
+            timers.schedule(connection, Math.min(now + timeoutNanos, connection.association.cutOffAt));
         }
     }
 
-    private void connectToBackend(Connection c, String address, byte[] first) {
-        c.backendSocket = --lastDialledSocket;
-        c.isFirstLineQueued = false;
-        c.isFirstLineWritten = false;
-        bySocket.put(c.backendSocket, c);
+    /** Connects to the backend with a new socket number; once connected, the first line is written. */
+    private void connectToBackend(Connection connection, String address, byte[] firstLine) {
+        connection.backendSocket = --lastBackendSocket;
+        connection.isFirstLineQueued = false;
+        connection.isFirstLineWritten = false;
+        bySocket.put(connection.backendSocket, connection);
         socketCount++;
-        emitCommand(new NetworkCommand.Connect(c.backendSocket, address, first));
+        emitCommand(new NetworkCommand.Connect(connection.backendSocket, address, firstLine));
     }
 
-    /** Rule 1: the one place that answers a client for good. */
-    private void sendFinalAnswer(Connection c, byte[] last, long now) {
-        deregister(c);
-        write(c.clientSocket, last);
-        closeSockets(c, now);
+    /**
+     * Sends the client its final answer and closes the connection. Every final answer is sent here, and a connection
+     * leaves DISPATCHING or AWAITING_OPEN with it, so a client never gets two.
+     */
+    private void sendFinalAnswer(Connection connection, byte[] finalLine, long now) {
+        deregister(connection);
+        write(connection.clientSocket, finalLine);
+        closeSockets(connection, now);
     }
 
-    private void deregister(Connection c) {
-        awaitingOpen.remove(c.clientSocket);
-        if (c.association != null) {
-            byAssociation.remove(c.association);
-            byAssociationId.remove(c.openRequest.id(), c);
+    /** Removes the connection from the indexes of waiting and registered connections; its sockets stay in use. */
+    private void deregister(Connection connection) {
+        awaitingOpen.remove(connection.clientSocket);
+        if (connection.association != null) {
+            byAssociation.remove(connection.association);
+            byAssociationId.remove(connection.openRequest.id(), connection);
         }
     }
 
-    /** Gives back what sockets are left, each after what was written to it. */
-    private void closeSockets(Connection c, long now) {
-        c.state = State.CLOSING;
-        timers.schedule(c, now + CLOSE_TIMEOUT_NANOS);
-        c.bufferedLines.clear();
-        c.unansweredSentAt.clear();
-        if (c.backendSocket != 0) {
-            emitCommand(new NetworkCommand.Close(c.backendSocket));
+    /** Moves the connection to CLOSING, starts the close timeout and closes the sockets after pending output. */
+    private void closeSockets(Connection connection, long now) {
+        connection.state = State.CLOSING;
+        timers.schedule(connection, now + CLOSE_TIMEOUT_NANOS);
+        connection.bufferedLines.clear();
+        connection.unansweredSentAt.clear();
+        if (connection.backendSocket != 0) {
+            emitCommand(new NetworkCommand.Close(connection.backendSocket));
         }
-        if (!c.isClientClosed) {
-            emitCommand(new NetworkCommand.Close(c.clientSocket));
+        if (!connection.isClientClosed) {
+            emitCommand(new NetworkCommand.Close(connection.clientSocket));
         }
     }
 
-    // ---- backends
+    // ---- Backends
 
-    private void onBackendMessage(Connection c, BackendMessage line, long now) {
-        if (c.state == State.DISPATCHING) {
-            if (line instanceof BackendMessage.Up) {
-                onBackendUp(c, line.raw(), now);
+    /**
+     * Handles a line of the backend. In state DISPATCHING, UP opens the connection and any other line ends the
+     * dispatch. In state OPEN the line is passed to the client; LOAD is also reported to the policy, BYE and MOVE are
+     * recorded for the outcome, and any other line counts as the answer to the oldest unanswered line. In state CLOSING
+     * lines are ignored.
+     */
+    private void onBackendMessage(Connection connection, BackendMessage message, long now) {
+        if (connection.state == State.DISPATCHING) {
+            if (message instanceof BackendMessage.Up) {
+                onBackendUp(connection, message.raw(), now);
             } else {
                 onDispatchFailed(
-                        c,
-                        line instanceof BackendMessage.Busy
+                        connection,
+                        message instanceof BackendMessage.Busy
                                 ? DispatchOutcome.FULL
-                                : line instanceof BackendMessage.Move
+                                : message instanceof BackendMessage.Move
                                         ? DispatchOutcome.CANCELLED
-                                        : line instanceof BackendMessage.Bye
+                                        : message instanceof BackendMessage.Bye
                                                 ? DispatchOutcome.DONE
                                                 : DispatchOutcome.ERROR,
                         now);
             }
-        } else if (c.state == State.OPEN) {
-            if (line instanceof BackendMessage.Load load) {
-                balancer.onLoadReport(c.association, load.microsPerSecond() * 1000, now);
-            } else if (line instanceof BackendMessage.Bye) {
-                c.hasReceivedBye = true;
-            } else if (line instanceof BackendMessage.Move) {
-                c.hasReceivedMove = true;
-            } else if (!c.unansweredSentAt.isEmpty()) {
-                latencies.recordLatency(c.backendId, now - c.unansweredSentAt.poll());
+        } else if (connection.state == State.OPEN) {
+            if (message instanceof BackendMessage.Load load) {
+                balancer.onLoadReport(connection.association, load.microsPerSecond() * NANOS_PER_MICRO, now);
+            } else if (message instanceof BackendMessage.Bye) {
+                connection.hasReceivedBye = true;
+            } else if (message instanceof BackendMessage.Move) {
+                connection.hasReceivedMove = true;
+            } else if (!connection.unansweredSentAt.isEmpty()) {
+                latencies.recordLatency(connection.backendId, now - connection.unansweredSentAt.poll());
             }
-            write(c.clientSocket, line.raw());
+            write(connection.clientSocket, message.raw());
         }
     }
 
-    private void onBackendUp(Connection c, byte[] receipt, long now) {
-        c.state = State.OPEN;
-        timers.cancel(c);
-        if (c.isResumption) {
-            balancer.onConnectionAdopted(c.association, c.backendId, now);
+    /** Opens the connection: reports it to the policy, links flow control, forwards UP and the buffered lines. */
+    private void onBackendUp(Connection connection, byte[] upLine, long now) {
+        connection.state = State.OPEN;
+        timers.cancel(connection);
+        if (connection.isResumption) {
+            balancer.onConnectionAdopted(connection.association, connection.backendId, now);
         } else {
-            balancer.onConnectionEstablished(c.association, c.dispatchIndex, now - c.dispatchedAt, now);
+            balancer.onConnectionEstablished(
+                    connection.association, connection.dispatchIndex, now - connection.dispatchedAt, now);
         }
-        emitCommand(new NetworkCommand.LinkFlowControl(c.clientSocket, c.backendSocket));
-        write(c.clientSocket, receipt);
-        while (!c.bufferedLines.isEmpty()) {
-            forwardToBackend(c, c.bufferedLines.poll(), now);
+        emitCommand(new NetworkCommand.LinkFlowControl(connection.clientSocket, connection.backendSocket));
+        write(connection.clientSocket, upLine);
+        while (!connection.bufferedLines.isEmpty()) {
+            forwardToBackend(connection, connection.bufferedLines.poll(), now);
         }
     }
 
-    /** The dispatch that is out ended before it was up. Its socket goes back before any other is dialled. */
-    private void onDispatchFailed(Connection c, DispatchOutcome outcome, long now) {
-        if (c.backendSocket != 0) {
-            // Danger: what is still queued for a dispatch given up would reach its backend beside the next one.
+    /**
+     * Ends the current dispatch, which failed before the connection was open. Its socket is closed before a further
+     * dispatch connects. A resumption is retried later; otherwise the policy decides what follows.
+     */
+    private void onDispatchFailed(Connection connection, DispatchOutcome outcome, long now) {
+        if (connection.backendSocket != 0) {
+            // After a timeout the OPEN line may still be queued. Close would deliver it while the next dispatch is in
+            // flight; Reset discards it.
             emitCommand(
                     outcome == DispatchOutcome.TIMED_OUT
-                            ? new NetworkCommand.Reset(c.backendSocket)
-                            : new NetworkCommand.Close(c.backendSocket));
-            c.backendSocket = 0;
+                            ? new NetworkCommand.Reset(connection.backendSocket)
+                            : new NetworkCommand.Close(connection.backendSocket));
+            connection.backendSocket = 0;
         }
-        if (c.isResumption) {
-            timers.schedule(c, now + RESUMPTION_RETRY_NANOS);
+        if (connection.isResumption) {
+            timers.schedule(connection, now + RESUMPTION_RETRY_NANOS);
             return;
         }
-        timers.cancel(c);
-        execute(c, balancer.onDispatchFinished(c.association, c.dispatchIndex, outcome, false, now), now);
+        timers.cancel(connection);
+        execute(
+                connection,
+                balancer.onDispatchFinished(connection.association, connection.dispatchIndex, outcome, false, now),
+                now);
     }
 
-    /** What it means that the dispatch's socket broke or ended. */
-    private static DispatchOutcome brokenSocketOutcome(Connection c) {
-        return c.isFirstLineWritten ? DispatchOutcome.RESET : DispatchOutcome.NOT_CONNECTED;
+    /**
+     * Returns the outcome of a dispatch whose socket closed or whose backend ended its output. Unless the first line
+     * was written completely, nothing can have run at the backend.
+     */
+    private static DispatchOutcome brokenSocketOutcome(Connection connection) {
+        return connection.isFirstLineWritten ? DispatchOutcome.RESET : DispatchOutcome.NOT_CONNECTED;
     }
 
-    /** An open connection is over, by its backend. */
-    private void onBackendEnded(Connection c, long now) {
-        deregister(c);
-        reconnections.onConnectionEnded(c.openRequest.clientKey(), now);
-        DispatchOutcome outcome = c.hasReceivedBye
+    /** Ends an open connection whose backend closed it: reports the outcome, which a BYE or MOVE before determines. */
+    private void onBackendEnded(Connection connection, long now) {
+        deregister(connection);
+        reconnections.onConnectionEnded(connection.openRequest.clientKey(), now);
+        DispatchOutcome outcome = connection.hasReceivedBye
                 ? DispatchOutcome.DONE
-                : c.hasReceivedMove ? DispatchOutcome.CANCELLED : DispatchOutcome.RESET;
-        balancer.onDispatchFinished(c.association, c.association.dispatchCount - 1, outcome, true, now);
+                : connection.hasReceivedMove ? DispatchOutcome.CANCELLED : DispatchOutcome.RESET;
+        balancer.onDispatchFinished(
+                connection.association, connection.association.dispatchCount - 1, outcome, true, now);
     }
 
-    // ---- ends of sockets
+    // ---- Closed and half-open sockets
 
+    /**
+     * Handles a peer that ended its output. In state OPEN the other side's output is ended too, and the connection may
+     * stay half-open until a timeout. In any other state the client is treated as gone; in state DISPATCHING a
+     * backend's end fails the dispatch. An abandoned socket is closed.
+     */
     private void onInputShutdown(long socket, long now) {
-        Connection c = bySocket.get(socket);
-        if (c == null) {
+        Connection connection = bySocket.get(socket);
+        if (connection == null) {
             return;
         }
-        if (socket == c.clientSocket) {
-            if (c.state == State.OPEN) {
-                emitCommand(new NetworkCommand.ShutdownOutput(c.backendSocket));
-                timers.schedule(c, now + HALF_CLOSED_TIMEOUT_NANOS);
+        if (socket == connection.clientSocket) {
+            if (connection.state == State.OPEN) {
+                emitCommand(new NetworkCommand.ShutdownOutput(connection.backendSocket));
+                timers.schedule(connection, now + HALF_CLOSED_TIMEOUT_NANOS);
             } else {
-                onClientLeft(c, now);
+                onClientLeft(connection, now);
             }
-        } else if (socket == c.backendSocket) {
-            if (c.state == State.DISPATCHING) {
-                onDispatchFailed(c, brokenSocketOutcome(c), now);
-            } else if (c.state == State.OPEN) {
-                emitCommand(new NetworkCommand.ShutdownOutput(c.clientSocket));
-                onBackendEnded(c, now);
-                c.state = State.CLOSING;
-                timers.schedule(c, now + HALF_CLOSED_TIMEOUT_NANOS);
+        } else if (socket == connection.backendSocket) {
+            if (connection.state == State.DISPATCHING) {
+                onDispatchFailed(connection, brokenSocketOutcome(connection), now);
+            } else if (connection.state == State.OPEN) {
+                emitCommand(new NetworkCommand.ShutdownOutput(connection.clientSocket));
+                onBackendEnded(connection, now);
+                connection.state = State.CLOSING;
+                timers.schedule(connection, now + HALF_CLOSED_TIMEOUT_NANOS);
             }
         } else {
             emitCommand(new NetworkCommand.Close(socket));
         }
     }
 
+    /**
+     * Handles input that can't be split into lines. A client that waits for an answer gets ERR; a dispatch fails; an
+     * open connection is closed.
+     */
     private void onFramingError(long socket, long now) {
-        Connection c = bySocket.get(socket);
-        if (c == null) {
+        Connection connection = bySocket.get(socket);
+        if (connection == null) {
             return;
         }
         if (socket < 0) {
-            log("backend-garbled", "a backend sent what is no line", c);
+            log("backend-garbled", "a backend sent data that is not a valid line", connection);
         } else {
             rejections.count(ProtocolViolation.FRAMING_ERROR);
         }
-        if (socket == c.clientSocket && c.state == State.AWAITING_OPEN) {
-            sendFinalAnswer(c, ERR, now);
-        } else if (socket == c.clientSocket && c.state == State.DISPATCHING) {
-            balancer.onClientDisconnected(c.association, now);
-            sendFinalAnswer(c, ERR, now);
-        } else if (socket == c.backendSocket && c.state == State.DISPATCHING) {
-            onDispatchFailed(c, DispatchOutcome.ERROR, now);
-        } else if (c.state != State.CLOSING) {
-            onClientLeft(c, now);
-        }
-    }
-
-    private void onSocketClosed(long socket, boolean reset, long now) {
-        Connection c = bySocket.remove(socket);
-        if (c == null) {
+        if (socket == connection.clientSocket && connection.state == State.AWAITING_OPEN) {
+            sendFinalAnswer(connection, ERR, now);
+        } else if (socket == connection.clientSocket && connection.state == State.DISPATCHING) {
+            balancer.onClientDisconnected(connection.association, now);
+            sendFinalAnswer(connection, ERR, now);
+        } else if (socket == connection.backendSocket && connection.state == State.DISPATCHING) {
+            onDispatchFailed(connection, DispatchOutcome.ERROR, now);
+        } else if (connection.state != State.CLOSING) {
+            onClientLeft(connection, now);
+        }
+    }
+
+    /**
+     * Handles a closed socket: removes it from the socket table and ends what depended on it. A client's close ends the
+     * connection; a backend's close fails the dispatch or ends the open connection. In state OPEN a reset of one side
+     * is passed on to the other.
+     */
+    private void onSocketClosed(long socket, boolean isReset, long now) {
+        Connection connection = bySocket.remove(socket);
+        if (connection == null) {
             return;
         }
         socketCount--;
-        if (socket == c.clientSocket) {
-            c.isClientClosed = true;
-            boolean open = c.state == State.OPEN;
-            if (open && reset) {
-                emitCommand(new NetworkCommand.Reset(c.backendSocket));
+        if (socket == connection.clientSocket) {
+            connection.isClientClosed = true;
+            boolean wasOpen = connection.state == State.OPEN;
+            if (wasOpen && isReset) {
+                emitCommand(new NetworkCommand.Reset(connection.backendSocket));
             }
-            onClientLeft(c, now);
-        } else if (socket == c.backendSocket) {
-            if (c.state == State.DISPATCHING) {
-                c.backendSocket = 0;
-                onDispatchFailed(c, brokenSocketOutcome(c), now);
+            onClientLeft(connection, now);
+        } else if (socket == connection.backendSocket) {
+            if (connection.state == State.DISPATCHING) {
+                connection.backendSocket = 0;
+                onDispatchFailed(connection, brokenSocketOutcome(connection), now);
                 return;
             }
-            c.backendSocket = 0;
-            if (c.state == State.OPEN) {
-                onBackendEnded(c, now);
-                if (reset) {
-                    emitCommand(new NetworkCommand.Reset(c.clientSocket));
+            connection.backendSocket = 0;
+            if (connection.state == State.OPEN) {
+                onBackendEnded(connection, now);
+                if (isReset) {
+                    emitCommand(new NetworkCommand.Reset(connection.clientSocket));
                 }
             }
-            closeSockets(c, now);
+            closeSockets(connection, now);
         }
-        if (c.isClientClosed && c.backendSocket == 0) {
-            timers.cancel(c);
+        if (connection.isClientClosed && connection.backendSocket == 0) {
+            timers.cancel(connection);
         }
     }
 
-    // ---- the roster, time and the end
+    // ---- Roster, timers and shutdown
 
+    /** Passes a roster message to the policy; an update with an older version requests the complete roster instead. */
     private void onRosterMessage(RosterMessage message, long now) {
-        if (!message.isComplete() && message.version() < backends.rosterVersion) {
-            log("roster-went-back", "the roster went back from " + backends.rosterVersion + " to " + message.version());
-            backends.rosterVersion = -1;
+        if (!message.isComplete() && message.version() < backendDirectory.rosterVersion) {
+            log(
+                    "roster-went-back",
+                    "roster version went back from " + backendDirectory.rosterVersion + " to " + message.version()
+                            + ", requesting the complete roster");
+            backendDirectory.rosterVersion = -1;
             watchRoster();
             return;
         }
-        RosterMessage list = message;
+        RosterMessage roster = message;
         if (startupProgress != null) {
             effects.add(new Effect.PersistRoster(message));
-            // Danger: changes leave out what did not change, whose age would count as unknown for good.
-            list = startupProgress.phase() == StartupProgress.Phase.AWAITING_ROSTER
+            // The first message after a start may list changes only. It is merged with the initial roster, because the
+            // ages of the unchanged backends would otherwise count as unknown for good.
+            roster = startupProgress.phase() == StartupProgress.Phase.AWAITING_ROSTER
                     ? initialState.roster().withUpdate(message)
                     : message;
-            emitLogMessage(startupProgress.onRosterMessage(list, now));
+            emitLogMessage(startupProgress.onRosterMessage(roster, now));
         }
-        balancer.onRosterUpdate(backends.update(list), list.isComplete(), false, now);
+        balancer.onRosterUpdate(backendDirectory.update(roster), roster.isComplete(), false, now);
     }
 
+    /** Requests a roster watch from the current version on; it replaces the previous watch. */
     private void watchRoster() {
         hasWatched = true;
         isWatchActive = true;
-        emitCommand(new NetworkCommand.WatchRoster(rosterAddress, backends.rosterVersion));
+        emitCommand(new NetworkCommand.WatchRoster(rosterAddress, backendDirectory.rosterVersion));
     }
 
-    private void onConfigurationReloaded(Event.ConfigurationReloaded reread, long now) {
-        maxSockets = reread.maxSockets();
-        if (!reread.rosterAddress().equals(rosterAddress)) {
-            log("roster-moved", "the roster service is now at " + reread.rosterAddress());
-            rosterAddress = reread.rosterAddress();
-            // Danger: what the old one still tells may be older than what the new one knows; it is left at once.
+    /** Applies the new limit on sockets and, if the address of the roster service changed, moves the watch there. */
+    private void onConfigurationReloaded(Event.ConfigurationReloaded reloaded, long now) {
+        maxSockets = reloaded.maxSockets();
+        if (!reloaded.rosterAddress().equals(rosterAddress)) {
+            log("roster-moved", "roster service address changed to " + reloaded.rosterAddress());
+            rosterAddress = reloaded.rosterAddress();
+            // The old roster service may send data that is older than the new one's, so its watch is replaced at once.
             watchRoster();
         }
     }
 
-    /** After each event: what is due, the module's chores, and the next time to wake. */
+    /**
+     * Runs after each event: handles expired timers, periodic checks and the due actions of the policy, continues the
+     * hand-over at shutdown, and schedules the next timer if its time changed.
+     */
     private void processDueActions(long now) {
-        for (Connection c = timers.pollExpired(now); c != null; c = timers.pollExpired(now)) {
-            onTimerExpired(c, now);
+        for (Connection connection = timers.pollExpired(now);
+                connection != null;
+                connection = timers.pollExpired(now)) {
+            onTimerExpired(connection, now);
         }
         if (now >= nextPeriodicRunAt) {
-            runPeriodicTasks(now);
+            runPeriodicChecks(now);
         }
         if (startupProgress != null) {
             emitLogMessage(startupProgress.onTimer(now));
         }
-        DueActions chores = balancer.pollDueActions(now);
-        // Danger: where the settings say that changes come by themselves, the module never asks; on sockets none come.
-        // Danger: a watch moved meanwhile must not be torn down by the retry that the one before had coming.
+        DueActions dueActions = balancer.pollDueActions(now);
+        // If the settings say that changes are pushed, the policy never requests a watch, but over sockets no change
+        // arrives without one; so the first watch is requested here. While a watch is active, requests are ignored:
+        // a retry that was due after a failed watch would otherwise replace the new watch after a change of address.
         if (!isWatchActive
-                && (chores.rosterCall != DueActions.RosterCall.NONE || !hasWatched && configuration.isRosterPushed())) {
+                && (dueActions.rosterCall != DueActions.RosterCall.NONE
+                        || !hasWatched && configuration.isRosterPushed())) {
             watchRoster();
         }
-        for (Association a : chores.connectionsToMove) {
-            move(byAssociation.get(a), now);
+        for (Association association : dueActions.connectionsToMove) {
+            move(byAssociation.get(association), now);
         }
-        chores.logMessages.forEach(line -> log("decisions", line));
+        dueActions.logMessages.forEach(text -> log("decisions", text));
         if (now >= nextHandOverAt && !isStopped) {
             handOverConnections(now);
         }
-        long converges = startupProgress == null ? Long.MAX_VALUE : startupProgress.wakeAt();
-        long next = Math.min(
-                converges,
+        long startupWakeAt = startupProgress == null ? Long.MAX_VALUE : startupProgress.wakeAt();
+        long wakeAt = Math.min(
+                startupWakeAt,
                 Math.min(
-                        Math.min(chores.wakeAt, timers.nextExpiry()),
+                        Math.min(dueActions.wakeAt, timers.nextExpiry()),
                         Math.min(nextPeriodicRunAt, isStopped ? nextPeriodicRunAt : nextHandOverAt)));
-        if (next != timerAt) {
-            timerAt = next;
-            effects.add(new Effect.ScheduleTimer(next));
+        if (wakeAt != scheduledWakeAt) {
+            scheduledWakeAt = wakeAt;
+            effects.add(new Effect.ScheduleTimer(wakeAt));
         }
     }
 
-    /** What is looked at twice a second. */
-    private void runPeriodicTasks(long now) {
-        String turned = rejections.pollLogText(now);
-        if (turned != null) {
-            log("turned-away", turned);
+    /** Runs twice a second: logs rejections, reports latencies to the policy and moves dead connections. */
+    private void runPeriodicChecks(long now) {
+        String rejectionText = rejections.pollLogText(now);
+        if (rejectionText != null) {
+            log("turned-away", rejectionText);
         }
         if (now - nextPeriodicRunAt > STALL_THRESHOLD_NANOS) {
-            // Danger: after a stall of its own all lines seem to wait; what came meanwhile is read first.
+            // After a stall of this relay all lines seem to be unanswered. The checks are postponed, so that
+            // input that arrived meanwhile is read before latencies are reported.
             nextPeriodicRunAt = now + STALL_THRESHOLD_NANOS / 2;
             return;
         }
@@ -658,81 +820,106 @@
         nextPeriodicRunAt = now + BackendLatencyTracker.REPORT_INTERVAL_NANOS;
     }
 
-    private void onTimerExpired(Connection c, long now) {
-        switch (c.state) {
+    /**
+     * Handles the expired timer of a connection. AWAITING_OPEN: the client is rejected, or closed silently after a
+     * PING. DISPATCHING: a resumption is retried, a dispatch times out, or a wait is over. OPEN: the half-open
+     * connection is closed. CLOSING: the sockets that are left are reset.
+     */
+    private void onTimerExpired(Connection connection, long now) {
+        switch (connection.state) {
             case AWAITING_OPEN -> {
-                if (c.hasPinged) {
-                    deregister(c);
-                    closeSockets(c, now);
+                if (connection.hasPinged) {
+                    deregister(connection);
+                    closeSockets(connection, now);
                 } else {
-                    reject(c, "saying nothing for two seconds", ERR, now);
+                    reject(connection, "sending no OPEN line within two seconds", ERR, now);
                 }
             }
             case CLOSING -> {
-                // Danger: what a peer does not take in is never written, and its socket would never be given back.
-                if (c.backendSocket != 0) {
-                    emitCommand(new NetworkCommand.Reset(c.backendSocket));
+                // Output that the peer never receives would keep its socket open forever.
+                if (connection.backendSocket != 0) {
+                    emitCommand(new NetworkCommand.Reset(connection.backendSocket));
                 }
-                if (!c.isClientClosed) {
-                    emitCommand(new NetworkCommand.Reset(c.clientSocket));
+                if (!connection.isClientClosed) {
+                    emitCommand(new NetworkCommand.Reset(connection.clientSocket));
                 }
             }
-            case OPEN -> onClientLeft(c, now);
+            case OPEN -> onClientLeft(connection, now);
             case DISPATCHING -> {
-                if (c.isResumption) {
-                    resume(c, now);
-                } else if (c.backendSocket != 0 && !c.hasTimedOutOnce && now < c.association.cutOffAt) {
-                    // Danger: where this relay was held up, the answer may be here unread; the sockets come first.
-                    c.hasTimedOutOnce = true;
-                    timers.schedule(c, now + MS);
-                } else if (c.backendSocket != 0) {
-                    // Danger: a line handed to a socket may be out before its last byte is reported.
+                if (connection.isResumption) {
+                    resume(connection, now);
+                } else if (connection.backendSocket != 0
+                        && !connection.hasTimedOutOnce
+                        && now < connection.association.cutOffAt) {
+                    // If this relay was delayed, the answer may have arrived without having been read. One more
+                    // millisecond lets the event loop read the sockets first.
+                    connection.hasTimedOutOnce = true;
+                    timers.schedule(connection, now + NANOS_PER_MILLI);
+                } else if (connection.backendSocket != 0) {
+                    // A queued line may have reached the backend before its last byte is reported as written, so the
+                    // dispatch may have run.
                     onDispatchFailed(
-                            c, c.isFirstLineQueued ? DispatchOutcome.TIMED_OUT : DispatchOutcome.NOT_CONNECTED, now);
+                            connection,
+                            connection.isFirstLineQueued ? DispatchOutcome.TIMED_OUT : DispatchOutcome.NOT_CONNECTED,
+                            now);
                 } else {
-                    execute(c, balancer.selectBackend(c.association, now), now);
+                    execute(connection, balancer.selectBackend(connection.association, now), now);
                 }
             }
         }
     }
 
-    /** Danger: one that brings nothing back while its backend serves others is no backend's delay; it must leave. */
+    /**
+     * Moves open connections whose oldest unanswered line has timed out. Such a connection may be dead while its
+     * backend answers others. This isn't latency of the backend, so the client has to reconnect.
+     */
     private void moveUnansweredConnections(long now) {
-        for (Connection c : clientConnections()) {
-            if (c.state == State.OPEN
-                    && !c.unansweredSentAt.isEmpty()
-                    && now - c.unansweredSentAt.peek() > UNANSWERED_LINE_TIMEOUT_NANOS) {
-                move(c, now);
+        for (Connection connection : clientConnections()) {
+            if (connection.state == State.OPEN
+                    && !connection.unansweredSentAt.isEmpty()
+                    && now - connection.unansweredSentAt.peek() > UNANSWERED_LINE_TIMEOUT_NANOS) {
+                move(connection, now);
             }
         }
     }
 
-    private void move(Connection c, long now) {
-        if (c == null || c.state != State.OPEN) {
+    /**
+     * Moves an open connection: tells the client by MOVE to reconnect, reports the end to the policy and closes both
+     * sockets. Does nothing for null or in any other state.
+     */
+    private void move(Connection connection, long now) {
+        if (connection == null || connection.state != State.OPEN) {
             return;
         }
-        deregister(c);
-        reconnections.onConnectionEnded(c.openRequest.clientKey(), now);
+        deregister(connection);
+        reconnections.onConnectionEnded(connection.openRequest.clientKey(), now);
         balancer.onDispatchFinished(
-                c.association, c.association.dispatchCount - 1, DispatchOutcome.CANCELLED, true, now);
-        write(c.clientSocket, MOVE);
-        closeSockets(c, now);
+                connection.association, connection.association.dispatchCount - 1, DispatchOutcome.CANCELLED, true, now);
+        write(connection.clientSocket, MOVE);
+        closeSockets(connection, now);
     }
 
-    /** Hands all over by moves, a quarter at a time; new connections no longer come. */
+    /**
+     * Moves a quarter of the open connections, but at least four, when no new connections arrive any more after a
+     * shutdown request. Emits {@link Effect.Stop} once no association is left.
+     */
     private void handOverConnections(long now) {
-        // Danger: while another relay is away too, nobody could take moved clients in; here they are still served.
+        // While another relay is down too, moved clients might find no relay that accepts them. This relay still serves
+        // them, so the hand-over waits.
         if (configuration.isPassThrough()
-                && now < shutdownRequestedAt + MAX_SHUTDOWN_DELAY_NANOS
+                && now < shutdownRequestedAt + MAX_HAND_OVER_DELAY_NANOS
                 && reconnections.hasManyFromOtherRelays(byAssociation.size(), now)) {
-            nextHandOverAt = shutdownRequestedAt + MAX_SHUTDOWN_DELAY_NANOS;
+            nextHandOverAt = shutdownRequestedAt + MAX_HAND_OVER_DELAY_NANOS;
             return;
         }
-        List<Connection> open =
-                clientConnections().stream().filter(c -> c.state == State.OPEN).toList();
-        open.stream().limit(Math.max(4, open.size() / 4)).forEach(c -> move(c, now));
+        List<Connection> openConnections = clientConnections().stream()
+                .filter(connection -> connection.state == State.OPEN)
+                .toList();
+        openConnections.stream()
+                .limit(Math.max(MIN_HAND_OVER_BATCH, openConnections.size() / HAND_OVER_BATCH_DIVISOR))
+                .forEach(connection -> move(connection, now));
         if (!byAssociation.isEmpty()) {
-            nextHandOverAt = now + SHUTDOWN_GRACE_NANOS / 8;
+            nextHandOverAt = now + HAND_OVER_INTERVAL_NANOS;
             return;
         }
         isStopped = true;
@@ -743,32 +930,37 @@
         emitCommand(new NetworkCommand.Write(socket, line));
     }
 
-    private void emitCommand(NetworkCommand ask) {
-        effects.add(new Effect.ExecuteCommand(ask));
+    private void emitCommand(NetworkCommand command) {
+        effects.add(new Effect.ExecuteCommand(command));
     }
 
-    private void emitLogMessage(LogMessage said) {
-        if (said != null) {
-            effects.add(new Effect.WriteLog(said.event(), said.text(), said.fields()));
+    /** Emits a log line; null means that there is nothing to log. */
+    private void emitLogMessage(LogMessage message) {
+        if (message != null) {
+            effects.add(new Effect.WriteLog(message.event(), message.text(), message.fields()));
         }
     }
 
-    private void log(String event, String line) {
-        effects.add(new Effect.WriteLog(event, line, Map.of()));
+    private void log(String event, String text) {
+        effects.add(new Effect.WriteLog(event, text, Map.of()));
     }
 
-    private void log(String event, String line, Connection c) {
+    /** Logs with the fields of the connection's association; without fields before OPEN. */
+    private void log(String event, String text, Connection connection) {
         Map<String, String> fields = new TreeMap<>();
-        if (c.openRequest != null) {
-            fields.put("association", Long.toHexString(c.openRequest.id()));
-            fields.put("useCase", c.openRequest.parameters().get("c"));
+        if (connection.openRequest != null) {
+            fields.put("association", Long.toHexString(connection.openRequest.id()));
+            fields.put("useCase", connection.openRequest.parameters().get("c"));
             fields.put(
                     "backend",
-                    c.isResumption ? c.openRequest.currentBackend() : String.valueOf(backends.addressOf(c.backendId)));
+                    connection.isResumption
+                            ? connection.openRequest.currentBackend()
+                            : String.valueOf(backendDirectory.addressOf(connection.backendId)));
         }
-        effects.add(new Effect.WriteLog(event, line, fields));
+        effects.add(new Effect.WriteLog(event, text, fields));
     }
 
+    /** Returns the text as a line of the protocol, with its line end. */
     private static byte[] encodeLine(String text) {
         return (text + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/relay/src/main/java/ambertrestle/relay/connection/RejectionCounter.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/RejectionCounter.java
@@ -3,30 +3,34 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts those turned away, so that one who comes again and again costs a line in five seconds at the most. */
+/** Counts rejected clients by reason and limits logging to one line in five seconds, however often clients retry. */
 final class RejectionCounter {
     private static final long LOG_INTERVAL_NANOS = 5_000_000_000L;
 
     private final Map<String, Integer> counts = new TreeMap<>();
+    /** Time of the last log line; the initial value makes the first one due at once without overflow. */
     private long loggedAt = Long.MIN_VALUE / 2;
 
-    void count(Object why) {
-        counts.merge(why.toString(), 1, Integer::sum);
+    /** Counts one rejection under the text of its reason. */
+    void count(Object reason) {
+        counts.merge(reason.toString(), 1, Integer::sum);
     }
 
-    /** The line to log, or null while there is none or it is too soon. */
+    /**
+     * Returns the text to log and clears the counts; null if nothing was counted or the last log line is too recent.
+     */
     String pollLogText(long now) {
         if (counts.isEmpty() || now - loggedAt < LOG_INTERVAL_NANOS) {
             return null;
         }
         loggedAt = now;
-        StringBuilder line = new StringBuilder("turned away:");
-        String between = " ";
-        for (Map.Entry<String, Integer> e : counts.entrySet()) {
-            line.append(between).append(e.getValue()).append(" for ").append(e.getKey());
-            between = ", ";
+        StringBuilder text = new StringBuilder("rejected clients:");
+        String separator = " ";
+        for (Map.Entry<String, Integer> entry : counts.entrySet()) {
+            text.append(separator).append(entry.getValue()).append(" for ").append(entry.getKey());
+            separator = ", ";
         }
         counts.clear();
-        return line.toString();
+        return text.toString();
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/connection/ReducerTest.java
+++ b/relay/src/test/java/ambertrestle/relay/connection/ReducerTest.java
@@ -19,19 +19,27 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Events in, effects out; no socket. Sockets 1, 2 ... are clients', -1, -2 ... dialled. */
+/**
+ * Applies events to a reducer and compares the effects with recorded traces, without sockets. Sockets 1, 2 ... belong
+ * to clients, sockets -1, -2 ... to backends. In the traces "dial" is a connect to a backend, "finish" a shutdown of
+ * the output, "keep" something to persist and "note" a log line.
+ */
 class ReducerTest {
     private static final ConfiguredNames NAMES = new ConfiguredNames(List.of("read", "mark", "pay"), List.of("x"));
-    private final BalancerFixture s = new BalancerFixture();
-    private boolean packetsPass = true;
-    private int mostSockets = 100;
+    private final BalancerFixture fixture = new BalancerFixture();
+    private boolean isPassThrough = true;
+    private int maxSockets = 100;
     private Reducer reducer;
 
-    private static RosterMessage list(long index, boolean whole, String... names) {
-        List<RosterMessage.Entry> lines = new ArrayList<>();
+    /**
+     * Builds a roster message from names such as "s-1" (READY) or "s-2=DRAINING"; a backend's address is its name and
+     * port 80.
+     */
+    private static RosterMessage roster(long version, boolean isComplete, String... names) {
+        List<RosterMessage.Entry> entries = new ArrayList<>();
         for (String name : names) {
             String[] parts = name.split("=");
-            lines.add(new RosterMessage.Entry(
+            entries.add(new RosterMessage.Entry(
                     parts[0],
                     parts[0] + ":80",
                     parts.length < 2 ? Stage.READY : Stage.valueOf(parts[1]),
@@ -41,14 +49,14 @@
                     1,
                     0));
         }
-        return new RosterMessage(index, whole, lines);
+        return new RosterMessage(version, isComplete, entries);
     }
 
-    private void start(String... names) {
-        s.settings.put("familyInfo.tellsDelay", "unseen");
+    private void startReducer(String... names) {
+        fixture.settings.put("familyInfo.tellsDelay", "unseen");
         reducer = new Reducer(
                 new ReducerConfiguration(
-                        s.settings,
+                        fixture.settings,
                         7,
                         List.of(
                                 2000 * BalancerFixture.MILLISECOND,
@@ -57,20 +65,20 @@
                         List.of("west"),
                         List.of("m2"),
                         100 * BalancerFixture.MILLISECOND,
-                        mostSockets,
+                        maxSockets,
                         150 * BalancerFixture.MILLISECOND,
-                        packetsPass,
+                        isPassThrough,
                         new Address("r", 1)),
-                list(3, true, names),
-                s.now);
+                roster(3, true, names),
+                fixture.now);
         apply("start", new Event.TimerFired());
     }
 
-    private void startWithInitialState(Recovery.InitialState beginning) {
-        s.settings.put("familyInfo.tellsDelay", "unseen");
+    private void startReducerWithInitialState(Recovery.InitialState initialState) {
+        fixture.settings.put("familyInfo.tellsDelay", "unseen");
         reducer = new Reducer(
                 new ReducerConfiguration(
-                        s.settings,
+                        fixture.settings,
                         7,
                         List.of(
                                 2000 * BalancerFixture.MILLISECOND,
@@ -79,140 +87,153 @@
                         List.of("west"),
                         List.of("m2"),
                         100 * BalancerFixture.MILLISECOND,
-                        mostSockets,
+                        maxSockets,
                         150 * BalancerFixture.MILLISECOND,
-                        packetsPass,
+                        isPassThrough,
                         new Address("r", 1)),
-                beginning,
+                initialState,
                 true,
                 Balancer::new,
-                s.now);
+                fixture.now);
         apply("start", new Event.TimerFired());
     }
 
-    /** An hour old: it names one that is gone and one that drains; the roster is away for 2 s. */
+    /**
+     * The persisted roster is an hour old: it lists a backend that is gone and one that drains, and the roster service
+     * is down for two seconds. The relay must serve meanwhile and correct its roster from the first answer.
+     */
     @Test
     void servesFromStaleRosterUntilRosterServiceAnswers() throws Exception {
-        LearnedState kept = new LearnedState(
+        LearnedState learnedState = new LearnedState(
                 0,
                 new LearnedState.RelayStatistics(300, 10_000 * BalancerFixture.MILLISECOND, 0, 0, 0, 0),
                 List.of(),
                 List.of(),
                 false);
-        startWithInitialState(new Recovery.InitialState(
+        startReducerWithInitialState(new Recovery.InitialState(
                 Recovery.RosterSource.KEPT,
-                list(3, true, "s-1", "s-2", "s-3", "s-4"),
-                s.now - 3_600_000 * BalancerFixture.MILLISECOND,
+                roster(3, true, "s-1", "s-2", "s-3", "s-4"),
+                fixture.now - 3_600_000 * BalancerFixture.MILLISECOND,
                 true,
                 true,
-                kept,
+                learnedState,
                 List.of()));
         applyNetworkEvent("roster service refuses", new NetworkEvent.RosterWatchFailed("not connected"));
-        s.atMillis(300);
+        fixture.atMillis(300);
         acceptAndOpen(1, "c=pay,d=2000,g=a1");
         applyNetworkEvent("no connection", new NetworkEvent.SocketClosed(-1, true));
         answerUp(-2);
-        s.atMillis(2000);
+        fixture.atMillis(2000);
         applyNetworkEvent(
                 "roster: 1 gone, 2 drains",
-                new NetworkEvent.RosterReceived(list(9, false, "s-1=GONE", "s-2=DRAINING", "s-3")));
+                new NetworkEvent.RosterReceived(roster(9, false, "s-1=GONE", "s-2=DRAINING", "s-3")));
         apply("keep", new Event.LearnedStateRequested());
         acceptAndOpen(2, "c=pay,d=2000,g=a1");
         fireTimerAt(5_001);
-        s.assertTraceMatches("oldlist");
+        fixture.assertTraceMatches("oldlist");
     }
 
-    private void apply(String what, Event event) {
-        s.appendToTrace(what);
-        for (Effect effect : reducer.apply(event, s.now)) {
+    /** Applies an event and appends the label and the effects to the trace. */
+    private void apply(String label, Event event) {
+        fixture.appendToTrace(label);
+        for (Effect effect : reducer.apply(event, fixture.now)) {
             String text = describe(effect);
             if (!text.isEmpty()) {
-                s.trace.append("             ").append(text).append(System.lineSeparator());
+                fixture.trace.append("             ").append(text).append(System.lineSeparator());
             }
         }
     }
 
+    /** Returns an effect's line in the trace; empty for effects that traces leave out. */
     private String describe(Effect effect) {
-        if (effect instanceof Effect.ExecuteCommand wire) {
-            NetworkCommand ask = wire.command();
-            return ask instanceof NetworkCommand.Connect d
-                    ? "dial " + d.socket() + " " + d.address() + " " + text(d.firstLine())
-                    : ask instanceof NetworkCommand.Write w
-                            ? "write " + w.socket() + " " + text(w.line())
-                            : ask instanceof NetworkCommand.Close c
-                                    ? "close " + c.socket()
-                                    : ask instanceof NetworkCommand.Reset r
-                                            ? "reset " + r.socket()
-                                            : ask instanceof NetworkCommand.ShutdownOutput f
-                                                    ? "finish " + f.socket()
-                                                    : ask instanceof NetworkCommand.WatchRoster w
-                                                            ? "watch " + w.address() + " from " + w.fromVersion()
+        if (effect instanceof Effect.ExecuteCommand execution) {
+            NetworkCommand command = execution.command();
+            return command instanceof NetworkCommand.Connect connect
+                    ? "dial " + connect.socket() + " " + connect.address() + " " + decodeLine(connect.firstLine())
+                    : command instanceof NetworkCommand.Write write
+                            ? "write " + write.socket() + " " + decodeLine(write.line())
+                            : command instanceof NetworkCommand.Close close
+                                    ? "close " + close.socket()
+                                    : command instanceof NetworkCommand.Reset reset
+                                            ? "reset " + reset.socket()
+                                            : command instanceof NetworkCommand.ShutdownOutput shutdown
+                                                    ? "finish " + shutdown.socket()
+                                                    : command instanceof NetworkCommand.WatchRoster watch
+                                                            ? "watch " + watch.address() + " from "
+                                                                    + watch.fromVersion()
                                                             : "";
         }
-        if (effect instanceof Effect.PersistLearnedState keep) {
-            return "keep " + keep.part().backends().size() + " judged, "
-                    + keep.part().pins().size() + " pins";
+        if (effect instanceof Effect.PersistLearnedState persist) {
+            return "keep " + persist.part().backends().size() + " judged, "
+                    + persist.part().pins().size() + " pins";
         }
-        return effect instanceof Effect.PersistRoster keep
-                ? "keep roster " + keep.message().version()
-                : effect instanceof Effect.WriteLog note
-                        ? "note " + note.text()
+        return effect instanceof Effect.PersistRoster persist
+                ? "keep roster " + persist.message().version()
+                : effect instanceof Effect.WriteLog logged
+                        ? "note " + logged.text()
                         : effect instanceof Effect.Stop ? "stop" : "";
     }
 
-    private static String text(byte[] raw) {
-        return new String(raw, StandardCharsets.UTF_8).replace("\r\n", "");
+    private static String decodeLine(byte[] line) {
+        return new String(line, StandardCharsets.UTF_8).replace("\r\n", "");
     }
 
-    private static byte[] raw(String line) {
+    private static byte[] encodeLine(String line) {
         return (line + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void applyNetworkEvent(String what, NetworkEvent heard) {
-        apply(what, new Event.NetworkEventReceived(heard));
+    private void applyNetworkEvent(String label, NetworkEvent networkEvent) {
+        apply(label, new Event.NetworkEventReceived(networkEvent));
     }
 
     private void receiveFromClient(long socket, String line) {
         applyNetworkEvent(
                 "client " + socket + ": " + line,
-                new NetworkEvent.ClientMessageReceived(socket, ClientMessage.decode(raw(line), NAMES)));
+                new NetworkEvent.ClientMessageReceived(socket, ClientMessage.decode(encodeLine(line), NAMES)));
     }
 
     private void receiveFromBackend(long socket, String line) {
         applyNetworkEvent(
                 "backend " + socket + ": " + line,
-                new NetworkEvent.BackendMessageReceived(socket, BackendMessage.decode(raw(line))));
+                new NetworkEvent.BackendMessageReceived(socket, BackendMessage.decode(encodeLine(line))));
     }
 
-    private void acceptAndOpen(long socket, String list) {
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(socket)), s.now);
-        receiveFromClient(socket, "OPEN " + socket + "f 0 t=x," + list);
+    /** Accepts a client and sends its OPEN line; the id is the socket's number with an f appended. */
+    private void acceptAndOpen(long socket, String parameters) {
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(socket)), fixture.now);
+        receiveFromClient(socket, "OPEN " + socket + "f 0 t=x," + parameters);
     }
 
+    /** Reports that the socket is connected and that its first line was written, without a line in the trace. */
     private void connectAndWriteFirstLine(long socket) {
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.BackendConnected(socket)), s.now);
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.FirstLineWritten(socket)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.BackendConnected(socket)), fixture.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.FirstLineWritten(socket)), fixture.now);
     }
 
+    /** Lets the backend accept the dispatch. */
     private void answerUp(long socket) {
         connectAndWriteFirstLine(socket);
         receiveFromBackend(socket, "UP r" + -socket);
     }
 
-    private void closeSocket(long socket, boolean reset) {
+    private void closeSocket(long socket, boolean isReset) {
         applyNetworkEvent(
-                "socket " + socket + (reset ? " broke" : " closed"), new NetworkEvent.SocketClosed(socket, reset));
+                "socket " + socket + (isReset ? " broke" : " closed"), new NetworkEvent.SocketClosed(socket, isReset));
     }
 
-    private void fireTimerAt(long ms) {
-        s.atMillis(ms);
+    private void fireTimerAt(long millis) {
+        fixture.atMillis(millis);
         apply("time", new Event.TimerFired());
     }
 
+    /**
+     * One connection from PING and OPEN to the close of both sockets. Lines must be forwarded in order, the one that
+     * the client sent too early included, and a backend that ends its output must not cut off the client.
+     */
     @Test
-    void connectionLifecycle() throws Exception {
-        start("s-1");
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(1)), s.now);
+    void forwardsLinesUntilBothSidesClose() throws Exception {
+        startReducer("s-1");
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(1)), fixture.now);
         receiveFromClient(1, "PING");
         acceptAndOpen(2, "c=read,d=2000,g=5c,z=9");
         receiveFromClient(2, "M 1 early");
@@ -224,12 +245,17 @@
         applyNetworkEvent("socket -1 ends its sending", new NetworkEvent.InputShutdown(-1));
         closeSocket(2, false);
         closeSocket(-1, false);
-        s.assertTraceMatches("life");
+        fixture.assertTraceMatches("life");
     }
 
+    /**
+     * A binding association may be dispatched again only while no dispatch may have run: after a failed connect and
+     * BUSY, not after a reset. A retriable one is dispatched again after a timeout, and a late UP of the first backend
+     * is ignored.
+     */
     @Test
-    void dispatchOutcomes() throws Exception {
-        start("s-1", "s-2", "s-3");
+    void dispatchesAgainOnlyWhereUseCaseAllows() throws Exception {
+        startReducer("s-1", "s-2", "s-3");
         acceptAndOpen(1, "c=pay,d=2000");
         closeSocket(-1, true);
         connectAndWriteFirstLine(-2);
@@ -242,12 +268,16 @@
         fireTimerAt(202);
         receiveFromBackend(-4, "UP late");
         answerUp(-5);
-        s.assertTraceMatches("outcomes");
+        fixture.assertTraceMatches("outcomes");
     }
 
+    /**
+     * A timeout, a broken backend socket and a leaving client may coincide. Each handler could answer the client again
+     * or close a socket twice.
+     */
     @Test
     void sendsOneFinalAnswerOnConcurrentFailures() throws Exception {
-        start("s-1");
+        startReducer("s-1");
         acceptAndOpen(1, "c=pay,d=120");
         connectAndWriteFirstLine(-1);
         fireTimerAt(101);
@@ -258,13 +288,17 @@
         closeSocket(2, true);
         receiveFromBackend(-2, "UP late");
         closeSocket(-2, false);
-        s.assertTraceMatches("once");
+        fixture.assertTraceMatches("once");
     }
 
+    /**
+     * A malformed first line must be answered ERR and must not reach a backend. A client that sends nothing is rejected
+     * after two seconds, and rejections are logged once in five seconds however many there are.
+     */
     @Test
     void rejectsMalformedOpenRequestsWithoutDispatch() throws Exception {
-        start("s-1");
-        String[] bad = {
+        startReducer("s-1");
+        String[] malformedLines = {
             "HELLO",
             "OPEN",
             "OPEN 1",
@@ -279,42 +313,50 @@
             "OPEN 1 1 c=read,t=x,d=",
             "OPEN 1 1 c=read,t=x,d=99999999999"
         };
-        for (int i = 0; i < bad.length; i++) {
-            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(i + 1)), s.now);
-            receiveFromClient(i + 1, bad[i]);
+        for (int i = 0; i < malformedLines.length; i++) {
+            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(i + 1)), fixture.now);
+            receiveFromClient(i + 1, malformedLines[i]);
         }
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(20)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(20)), fixture.now);
         applyNetworkEvent("socket 20 sends no line", new NetworkEvent.FramingError(20));
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(21)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(21)), fixture.now);
         fireTimerAt(1000);
         fireTimerAt(2000);
         fireTimerAt(6000);
-        s.assertTraceMatches("garbage");
+        fixture.assertTraceMatches("garbage");
     }
 
+    /**
+     * Backends refuse an id that is already open, so dispatching a duplicate would make them all look faulty. The id
+     * must be free again once its connection has ended.
+     */
     @Test
     void rejectsDuplicateIdsAndCommandsBeforeAnswer() throws Exception {
-        start("s-1");
+        startReducer("s-1");
         acceptAndOpen(1, "c=read,d=2000");
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(2)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(2)), fixture.now);
         receiveFromClient(2, "OPEN 1f 77 c=read,t=x,d=2000");
         answerUp(-1);
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(3)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(3)), fixture.now);
         receiveFromClient(3, "OPEN 1f 77 c=read,t=x,d=2000,mid=1");
         closeSocket(1, false);
-        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(4)), s.now);
+        reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientAccepted(4)), fixture.now);
         receiveFromClient(4, "OPEN 1f 77 c=read,t=x,d=2000");
         receiveFromClient(4, "OPEN 5f 77 c=read,t=x,d=2000");
         acceptAndOpen(5, "c=read,d=2000");
         applyNetworkEvent("socket 5 sends no line", new NetworkEvent.FramingError(5));
         fireTimerAt(1000);
-        s.assertTraceMatches("misuse");
+        fixture.assertTraceMatches("misuse");
     }
 
+    /**
+     * Clients that only send PING or nothing would hold all sockets, so the oldest is rejected when sockets run short
+     * and the others are closed soon. Closed sockets must be counted as free again.
+     */
     @Test
     void evictsClientsThatOnlyPingOrSendNothing() throws Exception {
-        mostSockets = 3;
-        start("s-1");
+        maxSockets = 3;
+        startReducer("s-1");
         for (int i = 1; i < 5; i++) {
             applyNetworkEvent("accepted " + i, new NetworkEvent.ClientAccepted(i));
             receiveFromClient(i, "PING");
@@ -322,31 +364,39 @@
         receiveFromClient(2, "PING");
         fireTimerAt(600);
         for (int i = 1; i < 5; i++) {
-            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.SocketClosed(i, false)), s.now);
+            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.SocketClosed(i, false)), fixture.now);
         }
         acceptAndOpen(5, "c=read,d=2000");
         answerUp(-1);
         closeSocket(-1, false);
         fireTimerAt(3600);
-        s.assertTraceMatches("silence");
+        fixture.assertTraceMatches("silence");
     }
 
+    /**
+     * A dispatch without a free socket would fail after the policy had counted it. The client must be answered BUSY
+     * before that, and so must each later one as long as no socket is free.
+     */
     @Test
     void shedsWhenSocketLimitIsReached() throws Exception {
-        mostSockets = 3;
-        start("s-1");
+        maxSockets = 3;
+        startReducer("s-1");
         acceptAndOpen(1, "c=read,d=2000");
         acceptAndOpen(2, "c=pay,d=2000");
         closeSocket(2, false);
         acceptAndOpen(3, "c=read,d=2000");
-        s.assertTraceMatches("sockets");
+        fixture.assertTraceMatches("sockets");
     }
 
+    /**
+     * On a busy machine the relay may be late to connect and to read answers. The backend's time must start with the
+     * first line, and an expired timeout must leave a millisecond to read an answer that has already arrived.
+     */
     @Test
     void relayDelayDoesNotCountAsBackendLatency() throws Exception {
-        start("s-1", "s-2");
+        startReducer("s-1", "s-2");
         acceptAndOpen(1, "c=read,d=2000");
-        s.atMillis(140);
+        fixture.atMillis(140);
         connectAndWriteFirstLine(-1);
         fireTimerAt(300);
         fireTimerAt(345);
@@ -354,121 +404,155 @@
         acceptAndOpen(2, "c=read,d=2000");
         fireTimerAt(496);
         fireTimerAt(497);
-        s.assertTraceMatches("delayed");
+        fixture.assertTraceMatches("delayed");
     }
 
+    /**
+     * A client that names its current backend must return to that backend, also after a failed attempt. It must be
+     * answered ERR if the backend is unknown.
+     */
     @Test
-    void resumedAndMidFlowConnections() throws Exception {
-        start("s-1", "s-2");
+    void resumesAtCurrentBackendAndDispatchesMidFlowConnections() throws Exception {
+        startReducer("s-1", "s-2");
         acceptAndOpen(1, "c=read,d=3000,at=s-2");
         closeSocket(-1, true);
         fireTimerAt(250);
         answerUp(-2);
         acceptAndOpen(2, "c=read,d=2000,mid=1,g=5c");
         acceptAndOpen(3, "c=read,d=2000,at=s-9");
-        s.assertTraceMatches("standing");
+        fixture.assertTraceMatches("standing");
     }
 
-    /** One entry that cannot be read must not pass for a backend that is gone. */
+    /**
+     * A complete roster removes the backends that it doesn't list, so a faulty entry would remove a healthy backend.
+     */
     @Test
     void keepsLastKnownEntryWhenNewOneIsFaulty() throws Exception {
-        start("s-1", "s-2");
+        startReducer("s-1", "s-2");
         applyNetworkEvent(
                 "whole list, s-2 faulty",
                 new NetworkEvent.RosterReceived(
-                        list(4, true, "s-1=DRAINING"),
+                        roster(4, true, "s-1=DRAINING"),
                         new TreeMap<>(
                                 Map.of("s-2", "status of s-2 is not known", "s-9", "address of s-9 is missing"))));
         for (int i = 1; i < 5; i++) {
-            s.atMillis(1500);
+            fixture.atMillis(1500);
             acceptAndOpen(i, "c=read,d=2000");
         }
-        s.assertTraceMatches("faulty");
+        fixture.assertTraceMatches("faulty");
     }
 
+    /**
+     * After a restart the roster service may have lost versions: a version that goes back must lead to a request for
+     * the complete roster, and a failed watch to a new one from the latest version.
+     */
     @Test
-    void restartsRosterWatchAfterFailure() throws Exception {
-        s.settings.put("discovery", "pushed");
-        start("s-1");
-        applyNetworkEvent("roster 4", new NetworkEvent.RosterReceived(list(4, false, "s-2")));
-        applyNetworkEvent("roster 2", new NetworkEvent.RosterReceived(list(2, false, "s-1=GONE")));
-        applyNetworkEvent("roster 2, whole", new NetworkEvent.RosterReceived(list(2, true, "s-2")));
+    void restartsRosterWatchAfterFailureOrOlderVersion() throws Exception {
+        fixture.settings.put("discovery", "pushed");
+        startReducer("s-1");
+        applyNetworkEvent("roster 4", new NetworkEvent.RosterReceived(roster(4, false, "s-2")));
+        applyNetworkEvent("roster 2", new NetworkEvent.RosterReceived(roster(2, false, "s-1=GONE")));
+        applyNetworkEvent("roster 2, whole", new NetworkEvent.RosterReceived(roster(2, true, "s-2")));
         applyNetworkEvent("watch broke", new NetworkEvent.RosterWatchFailed("silent"));
         fireTimerAt(500);
-        s.assertTraceMatches("watch");
+        fixture.assertTraceMatches("watch");
     }
 
+    /**
+     * The retry of a failed watch was still due when a reload had moved the watch to a new address; it must not replace
+     * the new watch. Open connections must survive the reload.
+     */
     @Test
     void reloadMovesWatchOnceAndCancelsPendingRetry() throws Exception {
-        start("s-1");
+        startReducer("s-1");
         acceptAndOpen(1, "c=read,d=2000");
         answerUp(-1);
         applyNetworkEvent("watch broke", new NetworkEvent.RosterWatchFailed("cut off"));
         apply("read again", new Event.ConfigurationReloaded(new Address("q", 2), 100));
         fireTimerAt(500);
         apply("read again, unchanged", new Event.ConfigurationReloaded(new Address("q", 2), 100));
-        applyNetworkEvent("roster 4", new NetworkEvent.RosterReceived(list(4, false, "s-2")));
+        applyNetworkEvent("roster 4", new NetworkEvent.RosterReceived(roster(4, false, "s-2")));
         applyNetworkEvent("watch broke", new NetworkEvent.RosterWatchFailed("ended"));
         fireTimerAt(1000);
         receiveFromClient(1, "M 1");
-        s.assertTraceMatches("reread");
+        fixture.assertTraceMatches("reread");
     }
 
+    /**
+     * A hung backend answers nothing, so no latency is measured from answers. The wait of unanswered lines must show
+     * it, and its connections must be moved.
+     */
     @Test
-    void detectsHungBackendAndDeadConnection() throws Exception {
-        start("s-1", "s-2");
+    void movesConnectionsOffHungBackend() throws Exception {
+        startReducer("s-1", "s-2");
         acceptAndOpen(1, "c=read,d=2000,g=1");
         answerUp(-1);
         acceptAndOpen(2, "c=read,d=2000,g=1");
         answerUp(-2);
-        s.atMillis(100);
+        fixture.atMillis(100);
         receiveFromClient(1, "M 1");
-        s.atMillis(400);
+        fixture.atMillis(400);
         receiveFromClient(2, "M 1");
-        for (int ms = 500; ms <= 2000; ms += 500) {
-            fireTimerAt(ms);
+        for (int millis = 500; millis <= 2000; millis += 500) {
+            fireTimerAt(millis);
         }
         closeSocket(-1, false);
-        s.assertTraceMatches("silent");
+        fixture.assertTraceMatches("silent");
     }
 
+    /**
+     * One connection is dead while another one of the same backend answers. The backend's mean latency stays low, so
+     * the dead connection must be found by the age of its unanswered line.
+     */
     @Test
     void movesOneDeadConnectionAmongHealthyOnes() throws Exception {
-        start("s-1");
+        startReducer("s-1");
         acceptAndOpen(1, "c=read,d=2000");
         answerUp(-1);
         acceptAndOpen(2, "c=read,d=2000");
         answerUp(-2);
         receiveFromClient(1, "M 1");
-        ClientMessage said = ClientMessage.decode(raw("M"), NAMES);
-        BackendMessage back = BackendMessage.decode(raw("M"));
-        for (int ms = 10; ms < 5500; ms += 10) {
-            s.atMillis(ms);
-            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.ClientMessageReceived(2, said)), s.now);
-            reducer.apply(new Event.NetworkEventReceived(new NetworkEvent.BackendMessageReceived(-2, back)), s.now);
+        ClientMessage clientLine = ClientMessage.decode(encodeLine("M"), NAMES);
+        BackendMessage backendLine = BackendMessage.decode(encodeLine("M"));
+        for (int millis = 10; millis < 5500; millis += 10) {
+            fixture.atMillis(millis);
+            reducer.apply(
+                    new Event.NetworkEventReceived(new NetworkEvent.ClientMessageReceived(2, clientLine)), fixture.now);
+            reducer.apply(
+                    new Event.NetworkEventReceived(new NetworkEvent.BackendMessageReceived(-2, backendLine)),
+                    fixture.now);
         }
         fireTimerAt(5500);
-        s.assertTraceMatches("dead");
+        fixture.assertTraceMatches("dead");
     }
 
+    /**
+     * A client that opens a connection during shutdown must still be served. Its OPEN line prolongs the grace time, and
+     * only then are the open connections moved.
+     */
     @Test
     void shutdownFinishesAcceptedAssociations() throws Exception {
-        packetsPass = false;
-        start("s-1");
+        isPassThrough = false;
+        startReducer("s-1");
         acceptAndOpen(1, "c=read,d=2000");
         answerUp(-1);
         apply("told to stop", new Event.ShutdownRequested());
-        s.atMillis(305);
+        fixture.atMillis(305);
         acceptAndOpen(2, "c=read,d=2000");
         fireTimerAt(501);
         answerUp(-2);
         fireTimerAt(806);
-        s.assertTraceMatches("stop");
+        fixture.assertTraceMatches("stop");
     }
 
+    /**
+     * At shutdown the connections are moved in batches. While another relay is down as well, which returning clients
+     * show, the moved clients would find no relay, so the hand-over must wait until just before the platform kills this
+     * one.
+     */
     @Test
     void shutdownHandsOverConnectionsUnlessAnotherRelayIsDown() throws Exception {
-        start("s-1");
+        startReducer("s-1");
         for (int i = 1; i < 7; i++) {
             acceptAndOpen(i, "c=read,d=2000");
             answerUp(-i);
@@ -477,8 +561,8 @@
         fireTimerAt(501);
         fireTimerAt(564);
         fireTimerAt(627);
-        start("s-1");
-        s.atMillis(10_000);
+        startReducer("s-1");
+        fixture.atMillis(10_000);
         acceptAndOpen(1, "c=read,d=2000,again=1");
         answerUp(-1);
         apply("told to stop", new Event.ShutdownRequested());
@@ -487,6 +571,6 @@
         receiveFromBackend(-1, "M 1");
         fireTimerAt(13_200);
         fireTimerAt(13_300);
-        s.assertTraceMatches("passing");
+        fixture.assertTraceMatches("passing");
     }
 }
