--- a/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
+++ b/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
@@ -71,8 +71,8 @@
             String log = Files.readString(dir.resolve(relay + ".log"));
             assertThat(log)
                     .contains("start-from-known: ")
-                    .contains("start-from-kept: begins with the kept list of 8 backends")
-                    .contains("until the roster service is heard all count as cold")
+                    .contains("start-from-kept: starts with the persisted roster of 8 backends")
+                    .contains("all backends count as cold until the roster service answers")
                     .contains("converging: ");
         }
     }
--- a/relay/src/main/java/ambertrestle/relay/persistence/DirectoryInUseException.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/DirectoryInUseException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Another process, or another relay of this one, holds the folder. */
+/**
+ * Thrown when the state directory is locked by another process, or by another relay in this process. The message is a
+ * predicate that follows the directory's name.
+ */
 public final class DirectoryInUseException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/relay/src/main/java/ambertrestle/relay/persistence/FileSystemStorage.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/FileSystemStorage.java
@@ -12,28 +12,34 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The folder itself. Owns the lock on it, which the system takes back when the process ends, however it ends. */
+/**
+ * The state directory on the file system. Holds a file lock on the directory, which the operating system releases when
+ * the process ends, also after a crash or a kill.
+ */
 final class FileSystemStorage implements Storage {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
-    private final Path folder;
-    private FileChannel channel;
+    private final Path directory;
+    /** The open lock file while the lock is held, otherwise null. */
+    private FileChannel lockChannel;
 
-    FileSystemStorage(Path folder) {
-        this.folder = folder;
+    FileSystemStorage(Path directory) {
+        this.directory = directory;
     }
 
-    /** Danger: two relays that write into one folder would each delete what the other has just kept. */
+    /** Without the lock, two relays that use the same directory would delete each other's newest state files. */
     @Override
     public void lock() throws IOException {
-        if (channel != null) {
+        if (lockChannel != null) {
             return;
         }
-        channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockChannel =
+                FileChannel.open(directory.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
-            lock = channel.tryLock();
+            lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
+            // Another relay in this process holds the lock.
             lock = null;
         }
         if (lock == null) {
@@ -44,15 +50,15 @@
 
     @Override
     public void close() throws IOException {
-        if (channel != null) {
-            channel.close();
-            channel = null;
+        if (lockChannel != null) {
+            lockChannel.close();
+            lockChannel = null;
         }
     }
 
     @Override
     public List<String> listFileNames() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.map(f -> f.getFileName().toString()).sorted().toList();
         } catch (java.io.UncheckedIOException e) {
             throw e.getCause();
@@ -61,24 +67,24 @@
 
     @Override
     public long size(String name) throws IOException {
-        return Files.size(folder.resolve(name));
+        return Files.size(directory.resolve(name));
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(folder.resolve(name));
+        return Files.readAllBytes(directory.resolve(name));
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
         try (FileChannel file = FileChannel.open(
-                folder.resolve(name),
+                directory.resolve(name),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                file.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                file.write(remaining);
             }
             file.force(true);
         }
@@ -86,18 +92,18 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            directoryChannel.force(true);
         }
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/Recovery.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/Recovery.java
@@ -8,19 +8,30 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a relay begins with, of what was kept and what its configuration says. Pure: values in, values out. */
+/**
+ * Combines the persisted snapshot with the relay configuration into the state with which a relay starts. Pure
+ * functions, no I/O. Times are Unix time in nanoseconds.
+ */
 public final class Recovery {
-    /** Where the list comes from. */
+    /** The origin of the initial roster. */
     public enum RosterSource {
+        /** The initial roster is empty. */
         NOTHING,
+        /** The roster under `known` in the relay configuration. */
         KNOWN,
+        /** The roster of the persisted snapshot. */
         KEPT
     }
 
     /**
-     * `heardAt`: when the roster service last said that this list stands, 0 where that is not known. `unseen`: so long
-     * ago that any backend of it may have started since. `comparable`: the roster service's versions go on from the
-     * list's.
+     * The state with which a relay starts.
+     *
+     * @param rosterConfirmedAt when the roster service last confirmed the roster, 0 if unknown
+     * @param isRosterStale whether the confirmation is so old, or its time unknown, that any backend in the roster may
+     *     have been restarted since
+     * @param hasComparableVersions whether the roster's version belongs to the roster service in use, so that an update
+     *     from this version on can be requested
+     * @param logMessages messages to log at start-up
      */
     public record InitialState(
             RosterSource rosterSource,
@@ -30,11 +41,11 @@
             boolean hasComparableVersions,
             LearnedState learnedState,
             List<LogMessage> logMessages) {
-        /** Nothing is kept: the configuration's list as it is. */
-        public static InitialState fromConfiguration(RosterMessage known) {
+        /** Returns the initial state without a snapshot: the configured roster, not stale, and no learned state. */
+        public static InitialState fromConfiguration(RosterMessage configuredRoster) {
             return new InitialState(
-                    known.entries().isEmpty() ? RosterSource.NOTHING : RosterSource.KNOWN,
-                    known,
+                    configuredRoster.entries().isEmpty() ? RosterSource.NOTHING : RosterSource.KNOWN,
+                    configuredRoster,
                     0,
                     false,
                     true,
@@ -46,51 +57,67 @@
     private Recovery() {}
 
     /**
-     * `kept`: the newest whole picture, or null. `sure`: a list heard no longer ago than this stands as it is. The list
-     * with the higher version wins; of two alike, the kept one, whose age is known.
+     * Returns the state with which the relay starts. Of the configured and the persisted roster, the one with the
+     * higher version is used; if the versions are equal, the persisted one, because its age is known. A non-empty
+     * persisted roster is also used if the configured one is empty or the persisted one is from another roster service.
+     *
+     * @param snapshot the newest valid snapshot, or null if there is none
+     * @param rosterAddress the address of the roster service in use
+     * @param maxFreshRosterAgeNanos a roster that was confirmed longer ago than this is stale
      */
-    public static InitialState recover(RosterMessage known, StateSnapshot kept, String rosterAt, long sure, long now) {
-        if (kept == null) {
-            return InitialState.fromConfiguration(known);
+    public static InitialState recover(
+            RosterMessage configuredRoster,
+            StateSnapshot snapshot,
+            String rosterAddress,
+            long maxFreshRosterAgeNanos,
+            long now) {
+        if (snapshot == null) {
+            return InitialState.fromConfiguration(configuredRoster);
         }
-        List<LogMessage> said = new ArrayList<>();
-        boolean future = kept.takenAt() > now || kept.rosterConfirmedAt() > now;
-        if (future) {
-            said.add(new LogMessage(
+        List<LogMessage> logMessages = new ArrayList<>();
+        boolean isFromFuture = snapshot.takenAt() > now || snapshot.rosterConfirmedAt() > now;
+        if (isFromFuture) {
+            logMessages.add(new LogMessage(
                     true,
                     "state-weighed",
-                    "what was kept is from the future, a clock went back: its list counts as of unknown age, "
-                            + "the rest is not taken",
+                    "the persisted state is dated in the future, so the clock went back: "
+                            + "its roster is used as one of unknown age, its learned state is discarded",
                     Map.of("reason", "future")));
         }
-        boolean sameService = kept.rosterAddress().equals(rosterAt);
-        if (!sameService && !kept.rosterAddress().isEmpty()) {
-            said.add(new LogMessage(
+        boolean isSameRosterService = snapshot.rosterAddress().equals(rosterAddress);
+        if (!isSameRosterService && !snapshot.rosterAddress().isEmpty()) {
+            logMessages.add(new LogMessage(
                     false,
                     "state-weighed",
-                    "the list was kept of another roster service, at " + kept.rosterAddress()
-                            + ": the whole list is asked for",
+                    "the persisted roster is from another roster service, at " + snapshot.rosterAddress()
+                            + ": requesting the complete roster",
                     Map.of("reason", "other-roster")));
         }
-        boolean keptList = !kept.roster().entries().isEmpty()
-                && (known.entries().isEmpty()
-                        || !sameService
-                        || known.version() <= kept.roster().version());
-        RosterMessage list = keptList ? kept.roster() : known;
-        long heardAt = keptList && !future ? kept.rosterConfirmedAt() : 0;
-        boolean unseen = heardAt == 0 || now - heardAt > sure;
+        boolean usesPersistedRoster = !snapshot.roster().entries().isEmpty()
+                && (configuredRoster.entries().isEmpty()
+                        || !isSameRosterService
+                        || configuredRoster.version() <= snapshot.roster().version());
+        RosterMessage roster = usesPersistedRoster ? snapshot.roster() : configuredRoster;
+        long confirmedAt = usesPersistedRoster && !isFromFuture ? snapshot.rosterConfirmedAt() : 0;
+        boolean isStale = confirmedAt == 0 || now - confirmedAt > maxFreshRosterAgeNanos;
         return new InitialState(
-                list.entries().isEmpty() ? RosterSource.NOTHING : keptList ? RosterSource.KEPT : RosterSource.KNOWN,
-                list,
-                heardAt,
-                unseen,
-                !keptList || sameService,
-                future ? LearnedState.EMPTY : LearnedStateDecay.decay(kept.learnedState(), kept.takenAt(), now),
-                said);
+                roster.entries().isEmpty()
+                        ? RosterSource.NOTHING
+                        : usesPersistedRoster ? RosterSource.KEPT : RosterSource.KNOWN,
+                roster,
+                confirmedAt,
+                isStale,
+                !usesPersistedRoster || isSameRosterService,
+                isFromFuture
+                        ? LearnedState.EMPTY
+                        : LearnedStateDecay.decay(snapshot.learnedState(), snapshot.takenAt(), now),
+                logMessages);
     }
 
-    /** For a person: seconds with one digit, or what is not known. */
-    static String formatAge(long heardAt, long now) {
-        return heardAt == 0 ? "at an unknown time" : String.format(Locale.ROOT, "%.1f s ago", (now - heardAt) / 1e9);
+    /** Returns a log text for the age of a confirmation, in seconds with one decimal; 0 means an unknown time. */
+    static String formatAge(long confirmedAt, long now) {
+        return confirmedAt == 0
+                ? "at an unknown time"
+                : String.format(Locale.ROOT, "%.1f s ago", (now - confirmedAt) / 1e9);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/SnapshotBuilder.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotBuilder.java
@@ -12,70 +12,83 @@
 import java.util.stream.Collectors;
 
 /**
- * What a relay would keep, put together from the changes it hands over, so that the event loop never copies all of it.
- * Whoever writes it owns it; no I/O here. It holds what the relay itself holds and no more: a pin that went there goes
- * here.
+ * Maintains a copy of a relay's persistent state from the changes that the relay hands over, so that the event loop
+ * never has to copy the whole state. The copy grows no larger than the relay's own state: a pin that the relay removes
+ * is removed here too. Does no I/O. Not thread-safe: the writer thread owns it. Times are Unix time in nanoseconds.
  */
 public final class SnapshotBuilder {
-    private final String relay;
-    private String rosterAt = "";
-    private long heardAt;
-    private RosterMessage list = new RosterMessage(-1, true, List.of());
-    private final Map<Long, BackendStatistics> judged = new HashMap<>();
-    /** Least lately changed first. */
+    private final String relayName;
+    /** The roster service that confirmed the roster last, or empty. */
+    private String rosterAddress = "";
+
+    /** When the roster was last confirmed, 0 for never. */
+    private long rosterConfirmedAt;
+
+    private RosterMessage roster = new RosterMessage(-1, true, List.of());
+    private final Map<Long, BackendStatistics> backendStatistics = new HashMap<>();
+    /** Pins by key, the least recently changed first. */
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>();
 
-    private long table;
+    private long tableFormat;
     private LearnedState.RelayStatistics relayStatistics = LearnedState.RelayStatistics.EMPTY;
 
-    public SnapshotBuilder(String relay) {
-        this.relay = relay;
+    public SnapshotBuilder(String relayName) {
+        this.relayName = relayName;
     }
 
-    /** Begins with the list that the relay begins with, so that one that never hears another does not lose it. */
-    public void setInitialRoster(String from, long at, RosterMessage list) {
-        onRosterConfirmed(from, at);
-        apply(list);
+    /**
+     * Sets the roster with which the relay starts. Without it, a relay that never reaches its roster service would lose
+     * the persisted roster, because its next state file would hold an empty one.
+     */
+    public void setInitialRoster(String rosterAddress, long confirmedAt, RosterMessage initialRoster) {
+        onRosterConfirmed(rosterAddress, confirmedAt);
+        apply(initialRoster);
     }
 
-    /** The list as that service has it, whole or what changed. */
+    /** Applies a message of the roster service: the complete roster or an update. */
     public void apply(RosterMessage message) {
-        list = list.withUpdate(message);
+        roster = roster.withUpdate(message);
     }
 
-    public void onRosterConfirmed(String from, long at) {
-        rosterAt = from;
-        heardAt = Math.max(heardAt, at);
+    /** Records that the roster service at this address confirmed the roster; an earlier time than before is ignored. */
+    public void onRosterConfirmed(String rosterAddress, long confirmedAt) {
+        this.rosterAddress = rosterAddress;
+        rosterConfirmedAt = Math.max(rosterConfirmedAt, confirmedAt);
     }
 
+    /** Merges changed backend statistics and pins by their key; the relay statistics are replaced. */
     public void apply(LearnedState changes) {
-        table = changes.tableFormat();
+        tableFormat = changes.tableFormat();
         relayStatistics = changes.relayStatistics();
-        for (BackendStatistics j : changes.backends()) {
-            judged.put(j.backend(), j);
+        for (BackendStatistics statistics : changes.backends()) {
+            backendStatistics.put(statistics.backend(), statistics);
         }
-        for (Pin p : changes.pins()) {
-            pins.remove(p.key());
-            if (p.unusedSince() != Pin.REMOVED) {
-                pins.put(p.key(), p);
+        for (Pin pin : changes.pins()) {
+            pins.remove(pin.key());
+            if (pin.unusedSince() != Pin.REMOVED) {
+                pins.put(pin.key(), pin);
             }
         }
     }
 
-    /** All of it now: judgments of backends that are listed, the pins changed last at the end. */
+    /**
+     * Returns the current state. It has statistics only of backends in the roster, sorted by id; pins are in the order
+     * of their last change, the most recent at the end.
+     */
     public StateSnapshot build(long now) {
-        judged.keySet()
-                .retainAll(list.entries().stream()
-                        .map(l -> RosterMessage.backendId(l.name()))
+        backendStatistics
+                .keySet()
+                .retainAll(roster.entries().stream()
+                        .map(entry -> RosterMessage.backendId(entry.name()))
                         .collect(Collectors.toSet()));
-        List<BackendStatistics> sorted = new ArrayList<>(judged.values());
+        List<BackendStatistics> sorted = new ArrayList<>(backendStatistics.values());
         sorted.sort((x, y) -> Long.compareUnsigned(x.backend(), y.backend()));
         return new StateSnapshot(
-                relay,
-                rosterAt,
+                relayName,
+                rosterAddress,
                 now,
-                heardAt,
-                list,
-                new LearnedState(table, relayStatistics, sorted, List.copyOf(pins.values()), false));
+                rosterConfirmedAt,
+                roster,
+                new LearnedState(tableFormat, relayStatistics, sorted, List.copyOf(pins.values()), false));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/SnapshotDirectory.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotDirectory.java
@@ -9,58 +9,73 @@
 import java.util.regex.Pattern;
 
 /**
- * The two newest generations of a relay's state in one folder. A file has its name only once it is whole: it is written
- * under another, synced, renamed, and the folder synced, before the generation before the last goes. One user at a
- * time.
+ * The state files of one relay in one directory. Each file is a generation with an increasing number; the two newest
+ * are retained. A file gets its final name only when it is complete: it is written under a temporary name, synced,
+ * renamed, and the directory is synced, before the oldest generation is deleted. Not thread-safe.
  */
 final class SnapshotDirectory {
-    private static final Pattern NAME = Pattern.compile("state-(\\d{18})"),
-            TEMPORARY_NAME = Pattern.compile("state-\\d{18}\\.new");
-    private static final int GENERATIONS = 2;
+    /** Length of `state-`, after which a file name has the generation's number. */
+    private static final int NAME_PREFIX_LENGTH = 6;
 
-    private final Storage disk;
-    private final String relay;
-    private final long mostAge;
-    private final long mostBytes;
-    /** Files that are this relay's to delete, oldest first. */
+    private static final Pattern NAME = Pattern.compile("state-(\\d{18})");
+    private static final Pattern TEMPORARY_NAME = Pattern.compile("state-\\d{18}\\.new");
+    private static final int RETAINED_GENERATIONS = 2;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+
+    private final Storage storage;
+    private final String relayName;
+    private final long maxAgeNanos;
+    private final long maxBytes;
+    /** Names of the files that this relay may delete, oldest first. */
     private final List<String> ownFiles = new ArrayList<>();
 
+    /** The highest generation number that was found or used, 0 for none. */
     private long generation;
 
-    /** One file that was not taken, and why. */
+    /** A file that could not be restored, with the cause. */
     record RejectedFile(String file, RejectedException cause) {}
 
-    /** The newest that is whole and this relay's, or null, and those passed over before it was met. */
+    /**
+     * The result of reading the directory.
+     *
+     * @param snapshot the newest valid snapshot of this relay, or null if there is none
+     * @param rejectedFiles the newer files that were skipped, newest first
+     */
     record ReadResult(StateSnapshot snapshot, List<RejectedFile> rejectedFiles) {}
 
-    SnapshotDirectory(Storage disk, String relay, long mostAge, long mostBytes) {
-        this.disk = disk;
-        this.relay = relay;
-        this.mostAge = mostAge;
-        this.mostBytes = mostBytes;
+    SnapshotDirectory(Storage storage, String relayName, long maxAgeNanos, long maxBytes) {
+        this.storage = storage;
+        this.relayName = relayName;
+        this.maxAgeNanos = maxAgeNanos;
+        this.maxBytes = maxBytes;
     }
 
-    /** Reads it all; call it once, before the first write. */
+    /**
+     * Reads all state files. Must be called exactly once, before the first write.
+     *
+     * @param now Unix time in nanoseconds
+     * @throws IOException if the directory cannot be listed; a file that cannot be read is rejected instead
+     */
     ReadResult readNewest(long now) throws IOException {
-        List<String> files = new ArrayList<>(disk.listFileNames().stream()
-                .filter(n -> NAME.matcher(n).matches())
+        List<String> files = new ArrayList<>(storage.listFileNames().stream()
+                .filter(name -> NAME.matcher(name).matches())
                 .toList());
         files.sort(Comparator.reverseOrder());
-        StateSnapshot found = null;
-        List<RejectedFile> passed = new ArrayList<>();
+        StateSnapshot newest = null;
+        List<RejectedFile> rejectedFiles = new ArrayList<>();
         for (String file : files) {
-            generation = Math.max(generation, Long.parseLong(file.substring(6)));
+            generation = Math.max(generation, Long.parseLong(file.substring(NAME_PREFIX_LENGTH)));
             try {
-                StateSnapshot picture = picture(file, now);
-                if (found == null) {
-                    found = picture;
+                StateSnapshot snapshot = readSnapshot(file, now);
+                if (newest == null) {
+                    newest = snapshot;
                 }
                 ownFiles.add(0, file);
             } catch (RejectedException e) {
-                if (found == null) {
-                    passed.add(new RejectedFile(file, e));
+                if (newest == null) {
+                    rejectedFiles.add(new RejectedFile(file, e));
                 }
-                // What another relay or a later version may still want is left where it is.
+                // Files that another relay or a newer version may still need are not deleted.
                 if (e.reason == RejectionReason.TORN
                         || e.reason == RejectionReason.CHECKSUM
                         || e.reason == RejectionReason.MALFORMED
@@ -69,66 +84,71 @@
                 }
             }
         }
-        return new ReadResult(found, passed);
+        return new ReadResult(newest, rejectedFiles);
     }
 
-    private StateSnapshot picture(String file, long now) throws RejectedException {
+    private StateSnapshot readSnapshot(String file, long now) throws RejectedException {
         byte[] bytes;
         try {
-            // Danger: whatever stands under that name is read into memory; a relay must not die of it.
-            if (disk.size(file) > mostBytes) {
-                throw new RejectedException(RejectionReason.TOO_LARGE, disk.size(file) + " bytes");
+            // Without this check, a large file with the name of a state file could exhaust the heap, because files
+            // are read into memory as a whole.
+            if (storage.size(file) > maxBytes) {
+                throw new RejectedException(RejectionReason.TOO_LARGE, storage.size(file) + " bytes");
             }
-            bytes = disk.read(file);
+            bytes = storage.read(file);
         } catch (IOException e) {
             throw new RejectedException(RejectionReason.UNREADABLE, String.valueOf(e.getMessage()));
         }
-        StateSnapshot picture = StateFileCodec.decode(bytes);
-        if (!picture.relayName().equals(relay)) {
-            throw new RejectedException(RejectionReason.OTHER_RELAY, picture.relayName());
+        StateSnapshot snapshot = StateFileCodec.decode(bytes);
+        if (!snapshot.relayName().equals(relayName)) {
+            throw new RejectedException(RejectionReason.OTHER_RELAY, snapshot.relayName());
         }
-        if (now - picture.takenAt() > mostAge) {
-            throw new RejectedException(RejectionReason.TOO_OLD, (now - picture.takenAt()) / 1_000_000_000L + " s");
+        if (now - snapshot.takenAt() > maxAgeNanos) {
+            throw new RejectedException(RejectionReason.TOO_OLD, (now - snapshot.takenAt()) / NANOS_PER_SECOND + " s");
         }
-        return picture;
+        return snapshot;
     }
 
-    /** Keeps one more generation. Where it throws, the one before is still whole. */
+    /**
+     * Writes the bytes as the next generation and deletes the generations that are no longer retained. If it throws,
+     * the previous generation is still complete.
+     */
     void writeGeneration(byte[] file) throws IOException {
-        long next = generation + 1;
-        String name = String.format(java.util.Locale.ROOT, "state-%018d", next);
-        String half = name + ".new";
-        // Danger: after a failed try the name may stand; a generation is never written twice.
-        generation = next;
+        long nextGeneration = generation + 1;
+        String name = String.format(java.util.Locale.ROOT, "state-%018d", nextGeneration);
+        String temporaryName = name + ".new";
+        // The number counts as used before the write. Without this, a retry could overwrite a state file, because a
+        // failed attempt may already have renamed its file.
+        generation = nextGeneration;
         try {
-            disk.write(half, file);
-            disk.rename(half, name);
+            storage.write(temporaryName, file);
+            storage.rename(temporaryName, name);
             ownFiles.add(name);
-            disk.syncDirectory();
+            storage.syncDirectory();
         } catch (IOException e) {
-            deleteTemporaryFile(half);
+            deleteTemporaryFile(temporaryName);
             throw e;
         }
-        while (ownFiles.size() > GENERATIONS) {
-            disk.delete(ownFiles.get(0));
+        while (ownFiles.size() > RETAINED_GENERATIONS) {
+            storage.delete(ownFiles.get(0));
             ownFiles.remove(0);
         }
     }
 
-    /** Danger: on a full disk what is half written would keep it full. */
-    private void deleteTemporaryFile(String half) {
+    /** Without this, a full disk would stay full, because the partially written file takes up the free space. */
+    private void deleteTemporaryFile(String temporaryName) {
         try {
-            disk.delete(half);
+            storage.delete(temporaryName);
         } catch (IOException e) {
-            // The next start clears it; the failure that led here is the one to tell.
+            // The caller reports the failure that led here; deleteTemporaryFiles() removes the file at the next start.
         }
     }
 
-    /** What earlier processes left half written. */
+    /** Deletes the partially written files of earlier processes. */
     void deleteTemporaryFiles() throws IOException {
-        for (String name : disk.listFileNames()) {
+        for (String name : storage.listFileNames()) {
             if (TEMPORARY_NAME.matcher(name).matches()) {
-                disk.delete(name);
+                storage.delete(name);
             }
         }
     }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StartupProgress.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StartupProgress.java
@@ -8,124 +8,144 @@
 import java.util.Map;
 
 /**
- * How far a relay's start has come: it serves on the list it began with, then hears the roster service, and has
- * converged once that stays so. A state machine over what is heard and the time; it decides nothing about backends.
- * Nanoseconds.
+ * Tracks a relay's start-up for the log: the relay serves from its initial roster, then receives roster messages, and
+ * has converged once its watch on the roster service is stable. A state machine driven by roster events and time,
+ * without influence on the choice of backends. Times are Unix time in nanoseconds.
  */
 public final class StartupProgress {
-    /**
-     * ON_OLD_LIST: the roster service is not heard yet. CONVERGING: it was. CONVERGED: its watch lasted
-     * {@link #STABLE_WATCH_NANOS}.
-     */
     public enum Phase {
+        /** No message from the roster service yet. */
         AWAITING_ROSTER,
+        /** The roster service has answered, but its watch has not been stable for long enough. */
         CONVERGING,
+        /** The watch was stable for {@link #STABLE_WATCH_NANOS}. */
         CONVERGED
     }
 
-    /** Danger: a roster service that answers one line and dies again would pass for one that is back. */
+    /**
+     * How long a watch must last for the start-up to have converged. Without this period, a roster service that fails
+     * again after one message would be taken for one that has recovered.
+     */
     static final long STABLE_WATCH_NANOS = 3_000_000_000L;
 
-    private final InitialState beginning;
-    private final long begunAt;
+    /** Value of {@link #stableSince} while no watch is running; {@link #wakeAt} is then {@link Long#MAX_VALUE}. */
+    private static final long NO_WATCH = Long.MAX_VALUE - STABLE_WATCH_NANOS;
+
+    private final InitialState initialState;
+    private final long startedAt;
     private Phase phase = Phase.AWAITING_ROSTER;
-    private long steadySince;
+    /** When the current watch delivered its first message, or {@link #NO_WATCH}. Unused before CONVERGING. */
+    private long stableSince;
+    /** How many watches have ended since the start. */
     private int watchFailures;
+
     private boolean startLogged;
 
-    public StartupProgress(InitialState beginning, long now) {
-        this.beginning = beginning;
-        begunAt = now;
+    public StartupProgress(InitialState initialState, long now) {
+        this.initialState = initialState;
+        startedAt = now;
     }
 
     public Phase phase() {
         return phase;
     }
 
-    /** When it wants to be asked again. */
+    /** Returns when to call {@link #onTimer} again, {@link Long#MAX_VALUE} if no timer is needed. */
     public long wakeAt() {
-        return phase == Phase.CONVERGING ? steadySince + STABLE_WATCH_NANOS : Long.MAX_VALUE;
+        return phase == Phase.CONVERGING ? stableSince + STABLE_WATCH_NANOS : Long.MAX_VALUE;
     }
 
-    private LogMessage begun() {
-        int backends = beginning.roster().entries().size();
-        String which =
-                switch (beginning.rosterSource()) {
-                    case NOTHING -> "with no list: it waits for the roster service";
-                    case KNOWN -> "with the configuration's list of " + backends + " backends";
-                    case KEPT -> "with the kept list of " + backends + " backends, heard "
-                            + Recovery.formatAge(beginning.rosterConfirmedAt(), begunAt);
+    private LogMessage createStartMessage() {
+        int backends = initialState.roster().entries().size();
+        String source =
+                switch (initialState.rosterSource()) {
+                    case NOTHING -> "without a roster: waiting for the roster service";
+                    case KNOWN -> "with the configured roster of " + backends + " backends";
+                    case KEPT -> "with the persisted roster of " + backends + " backends, confirmed "
+                            + Recovery.formatAge(initialState.rosterConfirmedAt(), startedAt);
                 };
         return new LogMessage(
                 false,
-                "start-from-" + beginning.rosterSource().name().toLowerCase(Locale.ROOT),
-                "begins " + which
-                        + (beginning.isRosterStale() ? "; until the roster service is heard all count as cold" : ""),
+                "start-from-" + initialState.rosterSource().name().toLowerCase(Locale.ROOT),
+                "starts " + source
+                        + (initialState.isRosterStale()
+                                ? "; all backends count as cold until the roster service answers"
+                                : ""),
                 Map.of(
                         "backends",
                         Integer.toString(backends),
                         "judged",
-                        Integer.toString(beginning.learnedState().backends().size()),
+                        Integer.toString(initialState.learnedState().backends().size()),
                         "pins",
-                        Integer.toString(beginning.learnedState().pins().size())));
+                        Integer.toString(initialState.learnedState().pins().size())));
     }
 
-    /** The roster service said something; `list`: what now holds. Null where there is nothing to tell. */
-    public LogMessage onRosterMessage(RosterMessage list, long now) {
+    /**
+     * Records a message of the roster service.
+     *
+     * @param roster for the first message the complete roster after it; later messages may be updates
+     * @return the message to log, or null if there is nothing to log
+     */
+    public LogMessage onRosterMessage(RosterMessage roster, long now) {
         if (phase != Phase.AWAITING_ROSTER) {
-            steadySince = steadySince == Long.MAX_VALUE - STABLE_WATCH_NANOS ? now : steadySince;
+            stableSince = stableSince == NO_WATCH ? now : stableSince;
             return null;
         }
         phase = Phase.CONVERGING;
-        steadySince = now;
-        Map<String, RosterMessage.Entry> before = new HashMap<>();
-        beginning.roster().entries().forEach(l -> before.put(l.name(), l));
-        int fresh = 0;
+        stableSince = now;
+        Map<String, RosterMessage.Entry> previousEntries = new HashMap<>();
+        initialState.roster().entries().forEach(entry -> previousEntries.put(entry.name(), entry));
+        int added = 0;
         int restarted = 0;
         int draining = 0;
-        for (RosterMessage.Entry l : list.entries()) {
-            RosterMessage.Entry old = before.remove(l.name());
-            fresh += old == null ? 1 : 0;
-            restarted += old != null && old.startedAtMillis() != l.startedAtMillis() ? 1 : 0;
-            draining += old != null && old.stage() == Stage.READY && l.stage() == Stage.DRAINING ? 1 : 0;
+        for (RosterMessage.Entry entry : roster.entries()) {
+            RosterMessage.Entry previous = previousEntries.remove(entry.name());
+            added += previous == null ? 1 : 0;
+            restarted += previous != null && previous.startedAtMillis() != entry.startedAtMillis() ? 1 : 0;
+            draining += previous != null && previous.stage() == Stage.READY && entry.stage() == Stage.DRAINING ? 1 : 0;
         }
-        String line = String.format(
+        String text = String.format(
                 Locale.ROOT,
-                "the roster service is heard after %.1f s: since the list it began with %d are gone, %d new, "
-                        + "%d restarted, %d drain",
-                (now - begunAt) / 1e9,
-                before.size(),
-                fresh,
+                "the roster service answered after %.1f s; changes since the initial roster: %d gone, %d new, "
+                        + "%d restarted, %d draining",
+                (now - startedAt) / 1e9,
+                previousEntries.size(),
+                added,
                 restarted,
                 draining);
         return new LogMessage(
                 false,
                 "converging",
-                line,
+                text,
                 Map.of(
                         "gone",
-                        Integer.toString(before.size()),
+                        Integer.toString(previousEntries.size()),
                         "new",
-                        Integer.toString(fresh),
+                        Integer.toString(added),
                         "restarted",
                         Integer.toString(restarted),
                         "draining",
                         Integer.toString(draining)));
     }
 
-    /** The watch on the roster ended. */
+    /** Records that the watch on the roster service ended or could not be opened. */
     public void onWatchEnded() {
         watchFailures++;
         if (phase == Phase.CONVERGING) {
-            steadySince = Long.MAX_VALUE - STABLE_WATCH_NANOS;
+            stableSince = NO_WATCH;
         }
     }
 
-    /** First what it begins with; null while there is nothing to tell. */
+    /**
+     * Advances to CONVERGED once the watch was stable for long enough. The first call only returns the message that
+     * names the initial roster.
+     *
+     * @return the message to log, or null if there is nothing to log
+     */
     public LogMessage onTimer(long now) {
         if (!startLogged) {
             startLogged = true;
-            return begun();
+            return createStartMessage();
         }
         if (phase != Phase.CONVERGING || now < wakeAt()) {
             return null;
@@ -135,7 +155,9 @@
                 false,
                 "converged",
                 String.format(
-                        Locale.ROOT, "the list is the roster service's, %.1f s after the start", (now - begunAt) / 1e9),
+                        Locale.ROOT,
+                        "the roster matches the roster service, %.1f s after the start",
+                        (now - startedAt) / 1e9),
                 Map.of("broken", Integer.toString(watchFailures)));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateChanges.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateChanges.java
@@ -8,33 +8,44 @@
 import java.util.Map;
 
 /**
- * What has changed since the last hand-over, gathered on the event loop a part at a time. A list that changes again and
- * again while the disk stalls takes the room of one list.
+ * The changes since the last persisted snapshot, collected on the event loop in small parts. Roster entries are merged
+ * by name, so a roster that changes repeatedly while the disk is stalled needs no more memory than one roster.
+ *
+ * <p>Not thread-safe: the event loop fills an instance, then hands it over to the writer thread for good.
  */
 public final class StateChanges {
-    private final Map<String, RosterMessage.Entry> lines = new LinkedHashMap<>();
+    /** The latest entry of each backend, by name. */
+    private final Map<String, RosterMessage.Entry> rosterEntries = new LinkedHashMap<>();
+    /** Whether {@link #rosterEntries} is a complete roster and not an update. */
     private boolean replacesRoster;
+    /** The version of the last roster message, or -1 if there was none. */
     private long rosterVersion = -1;
-    private final List<LearnedState> parts = new ArrayList<>();
 
+    private final List<LearnedState> learnedStateParts = new ArrayList<>();
+
+    /** Adds a message of the roster service; a complete roster replaces all entries added before. */
     public void add(RosterMessage message) {
         if (message.isComplete()) {
-            lines.clear();
+            rosterEntries.clear();
             replacesRoster = true;
         }
         rosterVersion = message.version();
-        message.entries().forEach(l -> lines.put(l.name(), l));
+        message.entries().forEach(entry -> rosterEntries.put(entry.name(), entry));
     }
 
+    /** Adds changed learned state. Parts are applied in the order in which they were added. */
     public void add(LearnedState part) {
-        parts.add(part);
+        learnedStateParts.add(part);
     }
 
-    /** Off the loop: from here on nobody else may touch it. */
-    public void applyTo(SnapshotBuilder mirror) {
+    /**
+     * Applies the changes to the builder. Runs on the writer thread; after the hand-over no other thread may use this
+     * instance.
+     */
+    public void applyTo(SnapshotBuilder builder) {
         if (rosterVersion >= 0) {
-            mirror.apply(new RosterMessage(rosterVersion, replacesRoster, List.copyOf(lines.values())));
+            builder.apply(new RosterMessage(rosterVersion, replacesRoster, List.copyOf(rosterEntries.values())));
         }
-        parts.forEach(mirror::apply);
+        learnedStateParts.forEach(builder::apply);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateFileCodec.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateFileCodec.java
@@ -20,112 +20,144 @@
 import java.util.zip.CRC32C;
 
 /**
- * The file's bytes, as docs/recovery.md gives them: a head of 32 bytes with version, length and CRC32C, then one CBOR
- * array. Pure: bytes in, values out. What is not whole to the bit is refused with a reason, never half read.
+ * Encodes and decodes state files; docs/recovery.md specifies the format. A file is a header of 32 bytes with version,
+ * length and CRC32C, followed by one CBOR array. The header has big-endian integers: the magic bytes (8 bytes), the
+ * format version (4), zero (4), the length of the CBOR array in bytes (8), the checksum (4), zero (4). Pure functions,
+ * no I/O. A file with any error is rejected as a whole, with a reason.
  */
 public final class StateFileCodec {
+    /** The format version that is written, and the newest that can be read. */
     public static final int VERSION = 1;
+
     static final int HEADER_BYTES = 32;
+    /** Position of the checksum's four bytes in the file. */
+    private static final int CHECKSUM_OFFSET = 24;
+
+    private static final int CHECKSUM_END = 28;
+    /** Initial size of the output buffer, which grows as needed. */
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    /** Codes of the stages in a file; there is none for GONE, as rosters have no entries in that stage. */
+    private static final int READY_CODE = 1;
+
+    private static final int DRAINING_CODE = 2;
+    /** Exclusive upper bound of floating-point values in a file. */
+    private static final double DOUBLE_LIMIT = 1e18;
+
     private static final byte[] MAGIC = "ambrtrs\n".getBytes(StandardCharsets.US_ASCII);
     private static final CBORFactory CBOR = new CBORFactory();
+    /** Stages by their code in the file. */
     private static final Stage[] STAGES = {Stage.GONE, Stage.READY, Stage.DRAINING};
 
-    /** Why a file is not read; the words stand in the log. */
+    /** Why a state file is rejected. */
     public enum RejectionReason {
         UNREADABLE("cannot be read"),
         TOO_LARGE("is larger than durable.most-megabytes"),
-        NOT_OURS("is no state file"),
-        NEWER("was written by a newer version"),
-        TORN("is cut off"),
+        NOT_OURS("is not a state file"),
+        NEWER("has a newer format version"),
+        TORN("has a wrong length"),
         CHECKSUM("has a wrong checksum"),
-        MALFORMED("holds what is no state"),
-        OTHER_RELAY("is another relay's"),
+        MALFORMED("has malformed content"),
+        OTHER_RELAY("belongs to another relay"),
         TOO_OLD("is older than durable.most-age");
 
+        /** A predicate that follows the file's name in messages. */
         public final String description;
 
-        RejectionReason(String says) {
-            this.description = says;
+        RejectionReason(String description) {
+            this.description = description;
         }
 
-        /** As the log's field has it. */
+        /** Returns the value of the log field `reason`. */
         public String toLogValue() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
     }
 
-    /** This file is not taken. */
+    /** Thrown when a state file is rejected. The message is a predicate that follows the file's name. */
     public static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         public final RejectionReason reason;
 
-        public RejectedException(RejectionReason reason, String more) {
-            super(reason.description + (more.isEmpty() ? "" : ": " + more));
+        /**
+         * Creates the exception.
+         *
+         * @param detail added to the reason's description; empty for none
+         */
+        public RejectedException(RejectionReason reason, String detail) {
+            super(reason.description + (detail.isEmpty() ? "" : ": " + detail));
             this.reason = reason;
         }
     }
 
     private StateFileCodec() {}
 
-    public static byte[] encode(StateSnapshot picture) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(1 << 16);
+    /** Returns the bytes of the snapshot's state file, header included. */
+    public static byte[] encode(StateSnapshot snapshot) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (CBORGenerator cbor = CBOR.createGenerator(out)) {
-            write(cbor, picture);
+            writeSnapshot(cbor, snapshot);
         } catch (IOException e) {
-            // Nothing but memory is written to.
+            // Not expected: the output is in memory.
             throw new UncheckedIOException(e);
         }
         byte[] body = out.toByteArray();
-        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES + body.length);
-        all.put(MAGIC)
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + body.length);
+        file.put(MAGIC)
                 .putInt(VERSION)
                 .putInt(0)
                 .putLong(body.length)
                 .putInt(0)
                 .putInt(0)
                 .put(body);
-        all.putInt(24, checksum(all.array()));
-        return all.array();
+        file.putInt(CHECKSUM_OFFSET, computeChecksum(file.array()));
+        return file.array();
     }
 
-    /** Over all but the four bytes that hold it. */
-    private static int checksum(byte[] file) {
+    /** Returns the CRC32C of the file without the four bytes of the checksum itself. */
+    private static int computeChecksum(byte[] file) {
         CRC32C crc = new CRC32C();
-        crc.update(file, 0, 24);
-        crc.update(file, 28, file.length - 28);
+        crc.update(file, 0, CHECKSUM_OFFSET);
+        crc.update(file, CHECKSUM_END, file.length - CHECKSUM_END);
         return (int) crc.getValue();
     }
 
+    /**
+     * Decodes a state file.
+     *
+     * @throws RejectedException if the file is not a complete, valid state file of a supported version
+     */
     public static StateSnapshot decode(byte[] file) throws RejectedException {
         if (file.length < HEADER_BYTES) {
             throw new RejectedException(RejectionReason.TORN, file.length + " bytes");
         }
-        ByteBuffer head = ByteBuffer.wrap(file, 0, HEADER_BYTES);
+        ByteBuffer header = ByteBuffer.wrap(file, 0, HEADER_BYTES);
         byte[] magic = new byte[MAGIC.length];
-        head.get(magic);
+        header.get(magic);
         if (!java.util.Arrays.equals(magic, MAGIC)) {
             throw new RejectedException(RejectionReason.NOT_OURS, "");
         }
-        int version = head.getInt();
-        head.getInt();
-        long length = head.getLong();
-        int crc = head.getInt();
-        // Danger: the version may be what was torn or flipped; only a whole file can say that it is newer.
+        int version = header.getInt();
+        header.getInt();
+        long length = header.getLong();
+        int expectedChecksum = header.getInt();
+        // The version is compared last. Without this order, a corrupt file could be taken for one of a newer version,
+        // because the version field itself may be corrupt.
         if (length != file.length - HEADER_BYTES) {
             throw new RejectedException(RejectionReason.TORN, file.length - HEADER_BYTES + " of " + length + " bytes");
         }
-        if (crc != checksum(file)) {
+        if (expectedChecksum != computeChecksum(file)) {
             throw new RejectedException(RejectionReason.CHECKSUM, "");
         }
         if (version > VERSION) {
-            throw new RejectedException(RejectionReason.NEWER, version + ", this one reads up to " + VERSION);
+            throw new RejectedException(
+                    RejectionReason.NEWER, version + ", this relay reads versions up to " + VERSION);
         }
         try (CBORParser cbor = CBOR.createParser(file, HEADER_BYTES, file.length - HEADER_BYTES)) {
-            StateSnapshot picture = read(cbor);
+            StateSnapshot snapshot = readSnapshot(cbor);
             if (cbor.nextToken() != null) {
-                throw new IOException("more than one value");
+                throw new IOException("expected one CBOR array, got another value after it");
             }
-            return picture;
+            return snapshot;
         } catch (IOException | IllegalArgumentException e) {
             throw new RejectedException(
                     RejectionReason.MALFORMED,
@@ -133,56 +165,57 @@
         }
     }
 
-    // ---- the one array, value after value
+    // ---- the CBOR array, value by value
 
-    private static void write(CBORGenerator out, StateSnapshot p) throws IOException {
+    private static void writeSnapshot(CBORGenerator out, StateSnapshot snapshot) throws IOException {
         out.writeStartArray();
-        out.writeString(p.relayName());
-        out.writeString(p.rosterAddress());
-        out.writeNumber(p.takenAt());
-        out.writeNumber(p.rosterConfirmedAt());
-        out.writeNumber(p.roster().version());
+        out.writeString(snapshot.relayName());
+        out.writeString(snapshot.rosterAddress());
+        out.writeNumber(snapshot.takenAt());
+        out.writeNumber(snapshot.rosterConfirmedAt());
+        out.writeNumber(snapshot.roster().version());
         out.writeStartArray();
-        for (RosterMessage.Entry l : p.roster().entries()) {
+        for (RosterMessage.Entry entry : snapshot.roster().entries()) {
             out.writeStartArray();
-            out.writeString(l.name());
-            out.writeString(emptyIfNull(l.address()));
-            out.writeNumber(l.stage() == Stage.READY ? 1 : 2);
-            out.writeString(emptyIfNull(l.zone()));
-            out.writeString(emptyIfNull(l.type()));
-            out.writeNumber(l.cell());
-            out.writeNumber(l.weight());
-            out.writeNumber(l.startedAtMillis());
+            out.writeString(entry.name());
+            out.writeString(emptyIfNull(entry.address()));
+            out.writeNumber(entry.stage() == Stage.READY ? READY_CODE : DRAINING_CODE);
+            out.writeString(emptyIfNull(entry.zone()));
+            out.writeString(emptyIfNull(entry.type()));
+            out.writeNumber(entry.cell());
+            out.writeNumber(entry.weight());
+            out.writeNumber(entry.startedAtMillis());
             out.writeEndArray();
         }
         out.writeEndArray();
-        LearnedState k = p.learnedState();
-        out.writeNumber(k.tableFormat());
-        RelayStatistics w = k.relayStatistics();
-        out.writeNumber(w.completedConnections());
-        out.writeNumber(w.observedFor());
-        out.writeNumber(w.typicalSetUpTime());
-        out.writeNumber(w.typicalLoad());
-        out.writeNumber(w.loadReportCount());
-        out.writeNumber(w.setUpInterval());
+        LearnedState learnedState = snapshot.learnedState();
+        out.writeNumber(learnedState.tableFormat());
+        RelayStatistics relayStatistics = learnedState.relayStatistics();
+        out.writeNumber(relayStatistics.completedConnections());
+        out.writeNumber(relayStatistics.observedFor());
+        out.writeNumber(relayStatistics.typicalSetUpTime());
+        out.writeNumber(relayStatistics.typicalLoad());
+        out.writeNumber(relayStatistics.loadReportCount());
+        out.writeNumber(relayStatistics.setUpInterval());
         out.writeStartArray();
-        for (BackendStatistics j : k.backends()) {
+        for (BackendStatistics backend : learnedState.backends()) {
             out.writeStartArray();
-            for (long whole : new long[] {j.backend(), j.startedAt(), j.evidenceUpdatedAt()}) {
-                out.writeNumber(whole);
+            for (long value : new long[] {backend.backend(), backend.startedAt(), backend.evidenceUpdatedAt()}) {
+                out.writeNumber(value);
             }
-            for (double part : new double[] {j.successes(), j.failures(), j.sharedCauseFailures()}) {
-                out.writeNumber(part);
+            for (double value : new double[] {backend.successes(), backend.failures(), backend.sharedCauseFailures()}) {
+                out.writeNumber(value);
             }
-            for (long whole : new long[] {j.reportedDelay(), j.delayReportedAt(), j.drainNoticedAt()}) {
-                out.writeNumber(whole);
+            for (long value :
+                    new long[] {backend.reportedDelay(), backend.delayReportedAt(), backend.drainNoticedAt()}) {
+                out.writeNumber(value);
             }
             out.writeEndArray();
         }
         out.writeEndArray();
-        // Flat, as there may be tens of thousands: key, backend, time.
+        // One flat array of key, backend and time, because there may be tens of thousands of pins.
         out.writeStartArray();
-        for (Pin pin : k.pins()) {
+        for (Pin pin : learnedState.pins()) {
             out.writeNumber(pin.key());
             out.writeNumber(pin.backend());
             out.writeNumber(pin.unusedSince());
@@ -191,46 +224,46 @@
         out.writeEndArray();
     }
 
-    /** The roster service may say null where it has nothing to say. */
+    /** The roster service may send null for an optional value. */
     private static String emptyIfNull(String text) {
         return text == null ? "" : text;
     }
 
-    private static StateSnapshot read(CBORParser in) throws IOException {
+    private static StateSnapshot readSnapshot(CBORParser in) throws IOException {
         expectArrayStart(in);
-        String relay = readText(in);
-        String rosterAt = readText(in);
-        long keptAt = readLong(in);
-        long heardAt = readLong(in);
-        long index = readLong(in);
-        List<RosterMessage.Entry> lines = new ArrayList<>();
+        String relayName = readString(in);
+        String rosterAddress = readString(in);
+        long takenAt = readLong(in);
+        long rosterConfirmedAt = readLong(in);
+        long rosterVersion = readLong(in);
+        List<RosterMessage.Entry> entries = new ArrayList<>();
         expectArrayStart(in);
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            String name = readText(in);
-            String address = readText(in);
+            String name = readString(in);
+            String address = readString(in);
             long stage = readLong(in);
-            if (stage < 1 || stage > 2) {
-                throw new IOException("a backend that is neither ready nor draining");
+            if (stage < READY_CODE || stage > DRAINING_CODE) {
+                throw new IOException("a backend has an unknown stage: expected 1 (ready) or 2 (draining)");
             }
-            lines.add(new RosterMessage.Entry(
+            entries.add(new RosterMessage.Entry(
                     name,
                     address,
                     STAGES[(int) stage],
-                    readText(in),
-                    readText(in),
+                    readString(in),
+                    readString(in),
                     (int) readLong(in),
                     readDouble(in),
                     readLong(in)));
             expectArrayEnd(in, in.nextToken());
         }
         expectArrayEnd(in, in.currentToken());
-        long table = readLong(in);
-        RelayStatistics w = new RelayStatistics(
+        long tableFormat = readLong(in);
+        RelayStatistics relayStatistics = new RelayStatistics(
                 readDouble(in), readLong(in), readDouble(in), readDouble(in), (int) readLong(in), readLong(in));
-        List<BackendStatistics> judged = new ArrayList<>();
+        List<BackendStatistics> backends = new ArrayList<>();
         expectArrayStart(in);
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            judged.add(new BackendStatistics(
+            backends.add(new BackendStatistics(
                     readLong(in),
                     readLong(in),
                     readLong(in),
@@ -251,36 +284,36 @@
         expectArrayEnd(in, in.currentToken());
         expectArrayEnd(in, in.nextToken());
         return new StateSnapshot(
-                relay,
-                rosterAt,
-                keptAt,
-                heardAt,
-                new RosterMessage(index, true, List.copyOf(lines)),
-                new LearnedState(table, w, List.copyOf(judged), List.copyOf(pins), false));
+                relayName,
+                rosterAddress,
+                takenAt,
+                rosterConfirmedAt,
+                new RosterMessage(rosterVersion, true, List.copyOf(entries)),
+                new LearnedState(tableFormat, relayStatistics, List.copyOf(backends), List.copyOf(pins), false));
     }
 
     private static void expectArrayStart(CBORParser in) throws IOException {
         if (in.nextToken() != JsonToken.START_ARRAY) {
-            throw new IOException("expected a list, got " + in.currentToken());
+            throw new IOException("expected an array, got " + in.currentToken());
         }
     }
 
     private static void expectArrayEnd(CBORParser in, JsonToken token) throws IOException {
         if (token != JsonToken.END_ARRAY) {
-            throw new IOException("expected the end of a list, got " + token);
+            throw new IOException("expected the end of an array, got " + token);
         }
     }
 
-    private static String readText(CBORParser in) throws IOException {
+    private static String readString(CBORParser in) throws IOException {
         if (in.nextToken() != JsonToken.VALUE_STRING) {
-            throw new IOException("expected a text, got " + in.currentToken());
+            throw new IOException("expected a string, got " + in.currentToken());
         }
         return in.getText();
     }
 
     private static long readLong(CBORParser in) throws IOException {
         if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IOException("expected a whole number, got " + in.currentToken());
+            throw new IOException("expected an integer, got " + in.currentToken());
         }
         return in.getLongValue();
     }
@@ -291,8 +324,9 @@
             throw new IOException("expected a number, got " + token);
         }
         double value = in.getDoubleValue();
-        // Danger: one NaN in the sums of the fleet would make every backend look overfull.
-        if (!(Math.abs(value) < 1e18) || value < 0) {
+        // Without this check, a single NaN would make every backend look over capacity, because sums over the fleet
+        // would become NaN.
+        if (!(Math.abs(value) < DOUBLE_LIMIT) || value < 0) {
             throw new IOException("expected a number from 0 to 1e18, got " + value);
         }
         return value;
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateSnapshot.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateSnapshot.java
@@ -5,9 +5,14 @@
 import java.util.List;
 
 /**
- * All that is kept of one relay at one moment; what a file holds. `rosterAt`: the roster service whose versions the
- * list's is one of; `heardAt`: when that service last said that the list stands; `keptAt`: when this was taken. Times
- * in nanoseconds, Unix time; 0 for never.
+ * The persistent state of one relay at one moment: the content of a state file. Times are Unix time in nanoseconds; 0
+ * means never.
+ *
+ * @param rosterAddress the address of the roster service whose versions the roster's version belongs to; empty if the
+ *     roster has no such service
+ * @param takenAt when the snapshot was taken
+ * @param rosterConfirmedAt when the roster service last confirmed the roster
+ * @param roster the complete roster
  */
 public record StateSnapshot(
         String relayName,
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateStore.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateStore.java
@@ -6,119 +6,139 @@
 import java.util.Map;
 
 /**
- * Owns a relay's folder: reads it once at the start, then writes one generation after the other. Every call blocks on
- * the disk, so after the start they come from one thread beside the event loop, one at a time.
+ * Persists a relay's state: restores the newest snapshot at start-up, then writes one generation after another. Every
+ * method blocks on the disk. After start-up, only one thread other than the event loop may call it, one call at a time.
+ * Times are Unix time in nanoseconds.
  */
 public final class StateStore implements AutoCloseable {
-    private final Storage disk;
-    private final SnapshotDirectory folder;
-    private final SnapshotBuilder mirror;
-    private final long mostBytes;
+    private final Storage storage;
+    private final SnapshotDirectory snapshots;
+    private final SnapshotBuilder builder;
+    private final long maxBytes;
+    /** Whether the last attempt to lock or write failed, so that a series of failures is logged once. */
     private boolean failing;
 
-    private StateStore(Storage disk, String relay, long mostAge, long mostBytes) {
-        this.disk = disk;
-        folder = new SnapshotDirectory(disk, relay, mostAge, mostBytes);
-        mirror = new SnapshotBuilder(relay);
-        this.mostBytes = mostBytes;
+    private StateStore(Storage storage, String relayName, long maxAgeNanos, long maxBytes) {
+        this.storage = storage;
+        snapshots = new SnapshotDirectory(storage, relayName, maxAgeNanos, maxBytes);
+        builder = new SnapshotBuilder(relayName);
+        this.maxBytes = maxBytes;
     }
 
     /**
-     * Throws {@link DirectoryInUseException} where another relay has the folder; other troubles are told and the relay
-     * serves.
+     * Locks the directory and deletes temporary files. Failures other than a held lock are added to the log messages,
+     * and the store is returned all the same, so that the relay can serve.
+     *
+     * @param logMessages receives the messages to log
+     * @throws DirectoryInUseException if another relay holds the lock on the directory
      */
-    public static StateStore open(PersistenceConfiguration sheet, String relay, List<LogMessage> said)
+    public static StateStore open(
+            PersistenceConfiguration configuration, String relayName, List<LogMessage> logMessages)
             throws DirectoryInUseException {
-        return open(new FileSystemStorage(sheet.directory()), sheet, relay, said);
+        return open(new FileSystemStorage(configuration.directory()), configuration, relayName, logMessages);
     }
 
-    static StateStore open(Storage disk, PersistenceConfiguration sheet, String relay, List<LogMessage> said)
+    static StateStore open(
+            Storage storage, PersistenceConfiguration configuration, String relayName, List<LogMessage> logMessages)
             throws DirectoryInUseException {
-        StateStore keeper = new StateStore(disk, relay, sheet.maxAgeNanos(), sheet.maxBytes());
+        StateStore store = new StateStore(storage, relayName, configuration.maxAgeNanos(), configuration.maxBytes());
         try {
-            disk.lock();
-            keeper.folder.deleteTemporaryFiles();
+            storage.lock();
+            store.snapshots.deleteTemporaryFiles();
         } catch (DirectoryInUseException e) {
             throw e;
         } catch (IOException e) {
-            // Danger: a folder that cannot be written to is no reason not to serve, nor not to read what is in it.
-            keeper.failing = true;
-            said.add(new LogMessage(
+            // Without this, a relay whose directory is not writable would neither serve nor use the state in it.
+            store.failing = true;
+            logMessages.add(new LogMessage(
                     true,
                     "state-not-kept",
-                    "what this relay learns is not kept: " + describe(e),
-                    Map.of("folder", sheet.directory().toString())));
+                    "the relay's state is not persisted: " + describe(e),
+                    Map.of("folder", configuration.directory().toString())));
         }
-        return keeper;
+        return store;
     }
 
-    /** The newest picture that may be taken, or null; each file passed over is told. */
-    public StateSnapshot restore(long now, List<LogMessage> said) {
+    /**
+     * Returns the newest valid snapshot, or null if there is none. Each file that was skipped, and a directory that
+     * cannot be read, adds a log message.
+     */
+    public StateSnapshot restore(long now, List<LogMessage> logMessages) {
         try {
-            SnapshotDirectory.ReadResult found = folder.readNewest(now);
-            for (SnapshotDirectory.RejectedFile p : found.rejectedFiles()) {
-                said.add(new LogMessage(
+            SnapshotDirectory.ReadResult result = snapshots.readNewest(now);
+            for (SnapshotDirectory.RejectedFile rejected : result.rejectedFiles()) {
+                logMessages.add(new LogMessage(
                         true,
                         "state-refused",
-                        p.file() + " " + p.cause().getMessage(),
-                        Map.of("file", p.file(), "reason", p.cause().reason.toLogValue())));
+                        rejected.file() + " " + rejected.cause().getMessage(),
+                        Map.of(
+                                "file",
+                                rejected.file(),
+                                "reason",
+                                rejected.cause().reason.toLogValue())));
             }
-            return found.snapshot();
+            return result.snapshot();
         } catch (IOException e) {
-            said.add(new LogMessage(
+            logMessages.add(new LogMessage(
                     true,
                     "state-refused",
-                    "the folder cannot be read: " + describe(e),
+                    "durable.folder cannot be read: " + describe(e),
                     Map.of("reason", "unreadable")));
             return null;
         }
     }
 
-    /** Before the first {@link #persist}: the list with which the relay begins. */
-    public void setInitialRoster(String rosterAt, long heardAt, RosterMessage list) {
-        mirror.setInitialRoster(rosterAt, heardAt, list);
+    /** Sets the roster with which the relay starts. Must be called before the first {@link #persist}. */
+    public void setInitialRoster(String rosterAddress, long confirmedAt, RosterMessage roster) {
+        builder.setInitialRoster(rosterAddress, confirmedAt, roster);
     }
 
     /**
-     * Takes the changes in and keeps one more generation; `rosterAt` null: no roster service was heard. The line to
-     * log, or null.
+     * Applies the changes and writes the state as a new generation. If the state file would be larger than the limit,
+     * it is written without pins. The changes of a failed write are part of the next one.
+     *
+     * @param rosterAddress the roster service that confirmed the roster, or null if none has answered yet
+     * @param rosterConfirmedAt when it last confirmed the roster; ignored if the address is null
+     * @return the message to log, or null if there is nothing to log
      */
-    public LogMessage persist(StateChanges hand, String rosterAt, long heardAt, long now) {
-        hand.applyTo(mirror);
-        if (rosterAt != null) {
-            mirror.onRosterConfirmed(rosterAt, heardAt);
+    public LogMessage persist(StateChanges changes, String rosterAddress, long rosterConfirmedAt, long now) {
+        changes.applyTo(builder);
+        if (rosterAddress != null) {
+            builder.onRosterConfirmed(rosterAddress, rosterConfirmedAt);
         }
-        StateSnapshot picture = mirror.build(now);
-        byte[] file = StateFileCodec.encode(picture);
-        boolean without = file.length > mostBytes;
-        if (without) {
-            // The list is what a relay cannot do without; then what was judged, then pins.
-            file = StateFileCodec.encode(picture.withoutPins());
+        StateSnapshot snapshot = builder.build(now);
+        byte[] file = StateFileCodec.encode(snapshot);
+        boolean isWithoutPins = file.length > maxBytes;
+        if (isWithoutPins) {
+            // A relay depends most on the roster, then on backend statistics, and least on pins.
+            file = StateFileCodec.encode(snapshot.withoutPins());
         }
         try {
-            if (file.length > mostBytes) {
-                throw new IOException("it takes " + file.length + " bytes, more than durable.most-megabytes");
+            if (file.length > maxBytes) {
+                throw new IOException(
+                        "the state file without pins has " + file.length + " bytes, more than durable.most-megabytes");
             }
-            // Danger: a folder that could not be locked at the start may since have become another relay's.
-            disk.lock();
-            folder.writeGeneration(file);
+            // Without this, a relay that could not lock the directory at start-up would write into a directory that
+            // another relay may have locked since.
+            storage.lock();
+            snapshots.writeGeneration(file);
         } catch (IOException e) {
-            boolean first = !failing;
+            boolean isFirstFailure = !failing;
             failing = true;
-            return first
+            return isFirstFailure
                     ? new LogMessage(
-                            true, "state-not-kept", "what this relay learns is not kept: " + describe(e), Map.of())
+                            true, "state-not-kept", "the relay's state is not persisted: " + describe(e), Map.of())
                     : null;
         }
         if (failing) {
             failing = false;
-            return new LogMessage(false, "state-kept-again", "what this relay learns is kept again", Map.of());
+            return new LogMessage(false, "state-kept-again", "the relay's state is persisted again", Map.of());
         }
-        return without
+        return isWithoutPins
                 ? new LogMessage(
                         true,
                         "state-too-large",
-                        "pins are not kept: with them the file is larger than durable.most-megabytes",
+                        "pins are not persisted: with them the state file is larger than durable.most-megabytes",
                         Map.of())
                 : null;
     }
@@ -127,8 +147,9 @@
         return e.getClass().getSimpleName() + (e.getMessage() == null ? "" : " " + e.getMessage());
     }
 
+    /** Releases the lock on the directory. */
     @Override
     public void close() throws IOException {
-        disk.close();
+        storage.close();
     }
 }
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -88,7 +88,7 @@
         Path file = file(java.util.Arrays.copyOf(whole, whole.length - 9));
         assertThat(run("state", "verify", file.toString())).isEqualTo(1);
         assertThat(err.toString())
-                .isEqualTo("ambertrestle: " + file + " is cut off: " + (whole.length - 41) + " of "
+                .isEqualTo("ambertrestle: " + file + " has a wrong length: " + (whole.length - 41) + " of "
                         + (whole.length - 32) + " bytes" + System.lineSeparator());
         assertThat(run("state", "show", dir.resolve("none").toString())).isEqualTo(1);
         assertThat(err.toString()).contains("none cannot be read");
--- a/relay/src/test/java/ambertrestle/relay/persistence/FaultyStorage.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/FaultyStorage.java
@@ -6,25 +6,27 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory whose every step can fail, or be the last that the process takes. After a kill, what was written
- * stands up to the byte it had come to, and names stand as far as they were changed.
+ * A state directory in memory with fault injection: any step can fail, or the process can be killed during it. After a
+ * kill, a file holds the bytes that were written until then, and renames and deletions that were done remain done.
  */
 final class FaultyStorage implements Storage {
-    /** The process is gone in the middle of a step. */
+    /** Simulates a kill of the process during a step. */
     static final class ProcessKilledException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
+    /** The files' content by name. */
     final TreeMap<String, byte[]> files = new TreeMap<>();
-    /** What must not happen before what: each step by name. */
+    /** The completed steps in their order, each followed by a space. */
     final StringBuilder steps = new StringBuilder();
-    /** So many units are left before the kill: a byte written is one, a rename, a sync and a deletion each one. */
+    /** Units of work before the kill: each byte written is one unit, and so is each sync, rename and deletion. */
     long unitsBeforeKill = Long.MAX_VALUE;
-    /** So many bytes fit in all. */
+    /** How many bytes the disk can hold. */
     long capacityBytes = Long.MAX_VALUE;
 
+    /** Whether the file system is mounted read-only. */
     boolean readOnly;
-    /** Another relay holds it. */
+
     boolean isLockedByOtherRelay;
 
     private void consumeUnit() {
@@ -33,12 +35,12 @@
         }
     }
 
-    private void step(String what) throws IOException {
+    private void runStep(String name) throws IOException {
         if (readOnly) {
             throw new IOException("Read-only file system");
         }
         consumeUnit();
-        steps.append(what).append(' ');
+        steps.append(name).append(' ');
     }
 
     @Override
@@ -53,7 +55,7 @@
 
     @Override
     public void close() {
-        // Nothing is held in memory.
+        // There is no lock to release.
     }
 
     @Override
@@ -77,34 +79,34 @@
             throw new IOException("Read-only file system");
         }
         files.put(name, new byte[0]);
-        long used = files.values().stream().mapToLong(f -> f.length).sum();
-        int fits = (int) Math.min(bytes.length, Math.max(0, capacityBytes - used));
-        int reached = (int) Math.min(fits, unitsBeforeKill);
-        files.put(name, Arrays.copyOf(bytes, reached));
-        unitsBeforeKill -= reached;
-        if (reached < fits) {
+        long usedBytes = files.values().stream().mapToLong(f -> f.length).sum();
+        int fittingBytes = (int) Math.min(bytes.length, Math.max(0, capacityBytes - usedBytes));
+        int writtenBytes = (int) Math.min(fittingBytes, unitsBeforeKill);
+        files.put(name, Arrays.copyOf(bytes, writtenBytes));
+        unitsBeforeKill -= writtenBytes;
+        if (writtenBytes < fittingBytes) {
             throw new ProcessKilledException();
         }
-        if (fits < bytes.length) {
+        if (fittingBytes < bytes.length) {
             throw new IOException("No space left on device");
         }
-        step("write+sync");
+        runStep("write+sync");
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        step("rename");
+        runStep("rename");
         files.put(to, files.remove(from));
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        step("sync-names");
+        runStep("sync-names");
     }
 
     @Override
     public void delete(String name) throws IOException {
-        step("delete");
+        runStep("delete");
         files.remove(name);
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/persistence/RecoveryTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/RecoveryTest.java
@@ -10,94 +10,106 @@
 import ambertrestle.relay.wire.RosterMessage;
 import org.junit.jupiter.api.Test;
 
+/** Which roster and learned state a relay starts with, and when its start-up has converged. */
 class RecoveryTest {
-    private static final long SURE = 2 * SECOND;
-    private static final RosterMessage NONE = TestSnapshots.roster(0, true);
+    private static final long MAX_FRESH_ROSTER_AGE = 2 * SECOND;
+    private static final RosterMessage EMPTY_ROSTER = TestSnapshots.roster(0, true);
 
-    private static InitialState begin(RosterMessage known, StateSnapshot kept) {
-        return Recovery.recover(known, kept, "d:1", SURE, NOW);
+    private static InitialState recover(RosterMessage configuredRoster, StateSnapshot snapshot) {
+        return Recovery.recover(configuredRoster, snapshot, "d:1", MAX_FRESH_ROSTER_AGE, NOW);
     }
 
+    /** Without a snapshot, the configured roster must count as current, as it does without persistence. */
     @Test
     void usesConfiguredRosterWithoutSnapshot() {
-        InitialState b = begin(TestSnapshots.roster(3, true, "a"), null);
-        assertThat(b).isEqualTo(InitialState.fromConfiguration(TestSnapshots.roster(3, true, "a")));
-        assertThat(b.isRosterStale()).isFalse();
-        assertThat(begin(NONE, null).rosterSource()).isEqualTo(RosterSource.NOTHING);
+        InitialState initialState = recover(TestSnapshots.roster(3, true, "a"), null);
+        assertThat(initialState).isEqualTo(InitialState.fromConfiguration(TestSnapshots.roster(3, true, "a")));
+        assertThat(initialState.isRosterStale()).isFalse();
+        assertThat(recover(EMPTY_ROSTER, null).rosterSource()).isEqualTo(RosterSource.NOTHING);
     }
 
+    /** Backends of a stale roster may have been restarted unnoticed; they would get too much load if taken for warm. */
     @Test
     void treatsRecentRosterAsFreshAndOlderOneAsStale() {
-        assertThat(begin(NONE, TestSnapshots.takenAt(NOW - SECOND, 1)).isRosterStale())
+        assertThat(recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW - SECOND, 1)).isRosterStale())
                 .isFalse();
-        assertThat(begin(NONE, TestSnapshots.takenAt(NOW - 3 * SECOND, 1)).isRosterStale())
+        assertThat(recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW - 3 * SECOND, 1))
+                        .isRosterStale())
                 .isTrue();
-        assertThat(begin(NONE, TestSnapshots.takenAt(NOW - 3 * SECOND, 1)).rosterSource())
+        assertThat(recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW - 3 * SECOND, 1))
+                        .rosterSource())
                 .isEqualTo(RosterSource.KEPT);
     }
 
+    /** An old snapshot must not replace a newer configured roster, whose age is unknown. */
     @Test
     void prefersHigherVersionAndTreatsUnknownAgeAsStale() {
-        InitialState newer = begin(TestSnapshots.roster(50, true, "x"), TestSnapshots.takenAt(NOW - SECOND, 1));
-        assertThat(newer.rosterSource()).isEqualTo(RosterSource.KNOWN);
-        assertThat(newer.isRosterStale()).isTrue();
-        assertThat(newer.learnedState().backends())
-                .as("judgments are taken all the same")
+        InitialState withNewerConfiguration =
+                recover(TestSnapshots.roster(50, true, "x"), TestSnapshots.takenAt(NOW - SECOND, 1));
+        assertThat(withNewerConfiguration.rosterSource()).isEqualTo(RosterSource.KNOWN);
+        assertThat(withNewerConfiguration.isRosterStale()).isTrue();
+        assertThat(withNewerConfiguration.learnedState().backends())
+                .as("the learned state is restored all the same")
                 .hasSize(2);
-        assertThat(begin(TestSnapshots.roster(41, true, "x"), TestSnapshots.takenAt(NOW - SECOND, 1))
+        assertThat(recover(TestSnapshots.roster(41, true, "x"), TestSnapshots.takenAt(NOW - SECOND, 1))
                         .rosterSource())
                 .isEqualTo(RosterSource.KEPT);
     }
 
+    /** Learned state that is dated in the future would never decay, so it must not be restored. */
     @Test
     void keepsOnlyRosterWithUnknownAgeAfterClockWentBack() {
-        InitialState b = begin(NONE, TestSnapshots.takenAt(NOW + 5 * SECOND, 1));
-        assertThat(b.rosterSource()).isEqualTo(RosterSource.KEPT);
-        assertThat(b.isRosterStale()).isTrue();
-        assertThat(b.rosterConfirmedAt()).isZero();
-        assertThat(b.learnedState()).isEqualTo(LearnedState.EMPTY);
-        assertThat(b.logMessages()).extracting(LogMessage::event).containsExactly("state-weighed");
+        InitialState initialState = recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW + 5 * SECOND, 1));
+        assertThat(initialState.rosterSource()).isEqualTo(RosterSource.KEPT);
+        assertThat(initialState.isRosterStale()).isTrue();
+        assertThat(initialState.rosterConfirmedAt()).isZero();
+        assertThat(initialState.learnedState()).isEqualTo(LearnedState.EMPTY);
+        assertThat(initialState.logMessages()).extracting(LogMessage::event).containsExactly("state-weighed");
     }
 
+    /** If versions of two roster services were compared, the relay would request updates that fit no known version. */
     @Test
     void doesNotCompareVersionsOfDifferentRosterServices() {
-        InitialState b = Recovery.recover(NONE, TestSnapshots.takenAt(NOW - SECOND, 1), "elsewhere:2", SURE, NOW);
-        assertThat(b.hasComparableVersions()).isFalse();
-        assertThat(b.logMessages()).singleElement().satisfies(s -> assertThat(s.fields())
+        InitialState initialState = Recovery.recover(
+                EMPTY_ROSTER, TestSnapshots.takenAt(NOW - SECOND, 1), "elsewhere:2", MAX_FRESH_ROSTER_AGE, NOW);
+        assertThat(initialState.hasComparableVersions()).isFalse();
+        assertThat(initialState.logMessages()).singleElement().satisfies(message -> assertThat(message.fields())
                 .containsEntry("reason", "other-roster"));
-        assertThat(begin(NONE, TestSnapshots.takenAt(NOW - SECOND, 1)).hasComparableVersions())
+        assertThat(recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW - SECOND, 1)).hasComparableVersions())
                 .isTrue();
     }
 
+    /** An update names only the changed backends; the others must stay in the roster. */
     @Test
     void appliesRosterChangesToOldRoster() {
-        RosterMessage now = TestSnapshots.roster(40, true, "a", "b", "c")
+        RosterMessage updated = TestSnapshots.roster(40, true, "a", "b", "c")
                 .withUpdate(TestSnapshots.roster(44, false, "b=GONE", "c=DRAINING", "d"));
-        assertThat(now).isEqualTo(TestSnapshots.roster(44, true, "a", "c=DRAINING", "d"));
+        assertThat(updated).isEqualTo(TestSnapshots.roster(44, true, "a", "c=DRAINING", "d"));
     }
 
+    /** A roster service that fails after one message must not count as recovered: the stable time starts anew. */
     @Test
     void doesNotConvergeWhenWatchEndsAfterOneMessage() {
-        StartupProgress start = new StartupProgress(begin(NONE, TestSnapshots.takenAt(NOW - 60 * SECOND, 1)), NOW);
-        assertThat(start.onTimer(NOW).text())
-                .isEqualTo(
-                        "begins with the kept list of 3 backends, heard 60.0 s ago; until the roster service is heard "
-                                + "all count as cold");
-        start.onWatchEnded();
-        assertThat(start.onTimer(NOW + SECOND)).isNull();
-        LogMessage said =
-                start.onRosterMessage(TestSnapshots.roster(44, true, "a", "b=DRAINING", "e"), NOW + 2 * SECOND);
-        assertThat(said.text())
-                .isEqualTo(
-                        "the roster service is heard after 2.0 s: since the list it began with 1 are gone, 1 new, 0 restarted, 1 drain");
-        start.onWatchEnded();
-        assertThat(start.onTimer(NOW + 9 * SECOND)).isNull();
-        assertThat(start.phase()).isEqualTo(StartupProgress.Phase.CONVERGING);
-        start.onRosterMessage(TestSnapshots.roster(44, false), NOW + 10 * SECOND);
-        assertThat(start.wakeAt()).isEqualTo(NOW + 13 * SECOND);
-        assertThat(start.onTimer(NOW + 12 * SECOND)).isNull();
-        assertThat(start.onTimer(NOW + 13 * SECOND).fields()).containsEntry("broken", "2");
-        assertThat(start.phase()).isEqualTo(StartupProgress.Phase.CONVERGED);
-        assertThat(start.onTimer(NOW + 14 * SECOND)).isNull();
+        StartupProgress progress =
+                new StartupProgress(recover(EMPTY_ROSTER, TestSnapshots.takenAt(NOW - 60 * SECOND, 1)), NOW);
+        assertThat(progress.onTimer(NOW).text())
+                .isEqualTo("starts with the persisted roster of 3 backends, confirmed 60.0 s ago; "
+                        + "all backends count as cold until the roster service answers");
+        progress.onWatchEnded();
+        assertThat(progress.onTimer(NOW + SECOND)).isNull();
+        LogMessage message =
+                progress.onRosterMessage(TestSnapshots.roster(44, true, "a", "b=DRAINING", "e"), NOW + 2 * SECOND);
+        assertThat(message.text())
+                .isEqualTo("the roster service answered after 2.0 s; changes since the initial roster: 1 gone, 1 new, "
+                        + "0 restarted, 1 draining");
+        progress.onWatchEnded();
+        assertThat(progress.onTimer(NOW + 9 * SECOND)).isNull();
+        assertThat(progress.phase()).isEqualTo(StartupProgress.Phase.CONVERGING);
+        progress.onRosterMessage(TestSnapshots.roster(44, false), NOW + 10 * SECOND);
+        assertThat(progress.wakeAt()).isEqualTo(NOW + 13 * SECOND);
+        assertThat(progress.onTimer(NOW + 12 * SECOND)).isNull();
+        assertThat(progress.onTimer(NOW + 13 * SECOND).fields()).containsEntry("broken", "2");
+        assertThat(progress.phase()).isEqualTo(StartupProgress.Phase.CONVERGED);
+        assertThat(progress.onTimer(NOW + 14 * SECOND)).isNull();
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/persistence/SnapshotDirectoryTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/SnapshotDirectoryTest.java
@@ -16,277 +16,312 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each test breaks a disk in one way and looks at what the next process finds. */
+/** Each test injects one kind of disk fault and checks what the next process restores. */
 class SnapshotDirectoryTest {
     private static final long DAY = 86_400 * SECOND;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
-    private final FaultyStorage disk = new FaultyStorage();
+    private final FaultyStorage storage = new FaultyStorage();
 
-    private SnapshotDirectory folder() throws IOException {
-        SnapshotDirectory folder = new SnapshotDirectory(disk, "r", DAY, 1 << 20);
-        folder.readNewest(NOW);
-        return folder;
+    private SnapshotDirectory openDirectory() throws IOException {
+        SnapshotDirectory snapshots = new SnapshotDirectory(storage, "r", DAY, 1 << 20);
+        snapshots.readNewest(NOW);
+        return snapshots;
     }
 
-    private SnapshotDirectory.ReadResult found() throws IOException {
-        return new SnapshotDirectory(disk, "r", DAY, 1 << 20).readNewest(NOW);
+    private SnapshotDirectory.ReadResult readNewest() throws IOException {
+        return new SnapshotDirectory(storage, "r", DAY, 1 << 20).readNewest(NOW);
     }
 
-    private void keep(int mark) throws IOException {
-        folder().writeGeneration(StateFileCodec.encode(TestSnapshots.takenAt(NOW - SECOND, mark)));
+    private void persist(int marker) throws IOException {
+        openDirectory().writeGeneration(StateFileCodec.encode(TestSnapshots.takenAt(NOW - SECOND, marker)));
     }
 
-    private static int mark(SnapshotDirectory.ReadResult found) {
-        return (int) found.snapshot().learnedState().relayStatistics().completedConnections();
+    private static int marker(SnapshotDirectory.ReadResult result) {
+        return (int) result.snapshot().learnedState().relayStatistics().completedConnections();
     }
 
+    /**
+     * A kill during a write must never leave the relay without a valid state file, or a partial file that looks valid.
+     */
     @Test
-    void findsWholeFileAfterKillAtAnyByteOrStepOfWrite() throws IOException {
-        keep(1);
-        keep(2);
-        Map<String, byte[]> before = Map.copyOf(disk.files);
+    void findsValidFileAfterKillAtAnyByteOrStepOfWrite() throws IOException {
+        persist(1);
+        persist(2);
+        Map<String, byte[]> before = Map.copyOf(storage.files);
         byte[] third = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 3));
-        int older = 0;
-        for (int lives = 0; ; lives++) {
-            disk.files.clear();
-            disk.files.putAll(before);
-            SnapshotDirectory folder = folder();
-            disk.unitsBeforeKill = lives;
+        int restoredPrevious = 0;
+        for (int unitsBeforeKill = 0; ; unitsBeforeKill++) {
+            storage.files.clear();
+            storage.files.putAll(before);
+            SnapshotDirectory snapshots = openDirectory();
+            storage.unitsBeforeKill = unitsBeforeKill;
             boolean killed = false;
             try {
-                folder.writeGeneration(third);
+                snapshots.writeGeneration(third);
             } catch (FaultyStorage.ProcessKilledException e) {
                 killed = true;
             }
-            disk.unitsBeforeKill = Long.MAX_VALUE;
-            SnapshotDirectory.ReadResult found = found();
-            assertThat(found.snapshot()).as("killed after " + lives).isNotNull();
-            assertThat(mark(found)).as("killed after " + lives).isBetween(2, 3);
-            assertThat(found.rejectedFiles())
-                    .as("what is half written has not the name of a whole one")
+            storage.unitsBeforeKill = Long.MAX_VALUE;
+            SnapshotDirectory.ReadResult result = readNewest();
+            assertThat(result.snapshot()).as("killed after " + unitsBeforeKill).isNotNull();
+            assertThat(marker(result)).as("killed after " + unitsBeforeKill).isBetween(2, 3);
+            assertThat(result.rejectedFiles())
+                    .as("a partially written file must not have a final name")
                     .isEmpty();
-            older += mark(found) == 2 ? 1 : 0;
+            restoredPrevious += marker(result) == 2 ? 1 : 0;
             if (!killed) {
                 break;
             }
         }
-        assertThat(older).as("all bytes, the sync and the rename").isEqualTo(third.length + 2);
+        assertThat(restoredPrevious)
+                .as("kills during each byte, the sync and the rename")
+                .isEqualTo(third.length + 2);
     }
 
+    /**
+     * In any other order, a power failure could leave no complete file: the new one not on disk, the old one deleted.
+     */
     @Test
     void syncsBeforeRenameAndDeletesOldFileAfterDirectorySync() throws IOException {
-        keep(1);
-        keep(2);
-        disk.steps.setLength(0);
-        keep(3);
-        assertThat(disk.steps.toString()).isEqualTo("write+sync rename sync-names delete ");
-        assertThat(disk.files.keySet()).containsExactly("state-000000000000000002", "state-000000000000000003");
+        persist(1);
+        persist(2);
+        storage.steps.setLength(0);
+        persist(3);
+        assertThat(storage.steps.toString()).isEqualTo("write+sync rename sync-names delete ");
+        assertThat(storage.files.keySet()).containsExactly("state-000000000000000002", "state-000000000000000003");
     }
 
+    /** A write that fails for lack of space must not use up the space that a later one needs, nor lose the old file. */
     @Test
     void keepsOldFileAndDeletesTemporaryFileOnFullDisk() throws IOException {
-        keep(1);
-        disk.capacityBytes =
-                disk.files.values().stream().mapToLong(f -> f.length).sum() + 20;
-        assertThatThrownBy(() -> keep(2)).isInstanceOf(IOException.class).hasMessageContaining("No space left");
-        assertThat(disk.files).hasSize(1);
-        assertThat(mark(found())).isEqualTo(1);
-        disk.capacityBytes = Long.MAX_VALUE;
-        keep(3);
-        assertThat(mark(found())).isEqualTo(3);
+        persist(1);
+        storage.capacityBytes =
+                storage.files.values().stream().mapToLong(f -> f.length).sum() + 20;
+        assertThatThrownBy(() -> persist(2)).isInstanceOf(IOException.class).hasMessageContaining("No space left");
+        assertThat(storage.files).hasSize(1);
+        assertThat(marker(readNewest())).isEqualTo(1);
+        storage.capacityBytes = Long.MAX_VALUE;
+        persist(3);
+        assertThat(marker(readNewest())).isEqualTo(3);
     }
 
+    /** A directory that has become read-only must still be restored from. */
     @Test
     void readsFromReadOnlyDirectory() throws IOException {
-        keep(1);
-        disk.readOnly = true;
-        assertThatThrownBy(() -> keep(2)).hasMessageContaining("Read-only");
-        assertThat(mark(found())).isEqualTo(1);
+        persist(1);
+        storage.readOnly = true;
+        assertThatThrownBy(() -> persist(2)).hasMessageContaining("Read-only");
+        assertThat(marker(readNewest())).isEqualTo(1);
     }
 
+    /** A damaged newest file must be reported with the right reason, and must not hide the previous generation. */
     @Test
     void reportsTruncatedOrCorruptFileAndReadsPreviousOne() throws IOException {
-        keep(1);
-        keep(2);
-        byte[] whole = disk.files.get("state-000000000000000002");
-        disk.files.put("state-000000000000000002", java.util.Arrays.copyOf(whole, whole.length / 2));
-        assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().rejectedFiles()).singleElement().satisfies(p -> assertThat(p.cause().reason)
-                .isEqualTo(RejectionReason.TORN));
-        byte[] flipped = whole.clone();
-        flipped[whole.length - 3] ^= 4;
-        disk.files.put("state-000000000000000002", flipped);
-        assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().rejectedFiles()).singleElement().satisfies(p -> assertThat(p.cause().reason)
-                .isEqualTo(RejectionReason.CHECKSUM));
+        persist(1);
+        persist(2);
+        byte[] validFile = storage.files.get("state-000000000000000002");
+        storage.files.put("state-000000000000000002", java.util.Arrays.copyOf(validFile, validFile.length / 2));
+        assertThat(marker(readNewest())).isEqualTo(1);
+        assertThat(readNewest().rejectedFiles())
+                .singleElement()
+                .satisfies(rejected -> assertThat(rejected.cause().reason).isEqualTo(RejectionReason.TORN));
+        byte[] flipped = validFile.clone();
+        flipped[validFile.length - 3] ^= 4;
+        storage.files.put("state-000000000000000002", flipped);
+        assertThat(marker(readNewest())).isEqualTo(1);
+        assertThat(readNewest().rejectedFiles())
+                .singleElement()
+                .satisfies(rejected -> assertThat(rejected.cause().reason).isEqualTo(RejectionReason.CHECKSUM));
     }
 
+    /** Damage of a single bit, or a missing end, must never be restored as state. */
     @Test
     void rejectsAnyBitFlipAndAnyTruncation() {
-        byte[] whole = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 1));
-        for (int i = 0; i < whole.length; i++) {
+        byte[] validFile = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 1));
+        for (int i = 0; i < validFile.length; i++) {
             for (int bit = 0; bit < 8; bit++) {
-                byte[] flipped = whole.clone();
+                byte[] flipped = validFile.clone();
                 flipped[i] ^= (byte) (1 << bit);
                 assertThatThrownBy(() -> StateFileCodec.decode(flipped))
                         .isInstanceOf(StateFileCodec.RejectedException.class);
             }
-            byte[] cut = java.util.Arrays.copyOf(whole, i);
-            assertThatThrownBy(() -> StateFileCodec.decode(cut)).isInstanceOf(StateFileCodec.RejectedException.class);
+            byte[] truncated = java.util.Arrays.copyOf(validFile, i);
+            assertThatThrownBy(() -> StateFileCodec.decode(truncated))
+                    .isInstanceOf(StateFileCodec.RejectedException.class);
         }
     }
 
+    /** After a downgrade, the newer version's file must survive for the next upgrade, and must not be overwritten. */
     @Test
     void rejectsFileOfNewerVersionWithoutDeletingIt() throws Exception {
-        keep(1);
-        byte[] newer = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 2));
-        ByteBuffer.wrap(newer).putInt(8, StateFileCodec.VERSION + 1);
+        persist(1);
+        byte[] newerFile = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 2));
+        ByteBuffer.wrap(newerFile).putInt(8, StateFileCodec.VERSION + 1);
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-        crc.update(newer, 0, 24);
-        crc.update(newer, 28, newer.length - 28);
-        ByteBuffer.wrap(newer).putInt(24, (int) crc.getValue());
-        disk.files.put("state-000000000000000007", newer);
-        assertThat(mark(found())).isEqualTo(1);
-        assertThat(found().rejectedFiles()).singleElement().satisfies(p -> assertThat(p.cause())
-                .hasMessageContaining("newer version: 2, this one reads up to 1"));
-        keep(3);
-        keep(4);
-        keep(5);
-        assertThat(disk.files).containsKey("state-000000000000000007").hasSize(3);
-        assertThat(disk.files.lastKey()).as("what is new stands after it").isEqualTo("state-000000000000000010");
-        assertThat(mark(found())).isEqualTo(5);
+        crc.update(newerFile, 0, 24);
+        crc.update(newerFile, 28, newerFile.length - 28);
+        ByteBuffer.wrap(newerFile).putInt(24, (int) crc.getValue());
+        storage.files.put("state-000000000000000007", newerFile);
+        assertThat(marker(readNewest())).isEqualTo(1);
+        assertThat(readNewest().rejectedFiles()).singleElement().satisfies(rejected -> assertThat(rejected.cause())
+                .hasMessageContaining("newer format version: 2, this relay reads versions up to 1"));
+        persist(3);
+        persist(4);
+        persist(5);
+        assertThat(storage.files).containsKey("state-000000000000000007").hasSize(3);
+        assertThat(storage.files.lastKey())
+                .as("a new file gets a higher number")
+                .isEqualTo("state-000000000000000010");
+        assertThat(marker(readNewest())).isEqualTo(5);
     }
 
+    /** A wrongly configured directory must not make a relay use or delete the state of another relay. */
     @Test
     void rejectsFileOfOtherRelayWithoutDeletingIt() throws IOException {
-        StateSnapshot p = TestSnapshots.takenAt(NOW, 1);
-        disk.files.put(
+        StateSnapshot snapshot = TestSnapshots.takenAt(NOW, 1);
+        storage.files.put(
                 "state-000000000000000001",
                 StateFileCodec.encode(new StateSnapshot(
-                        "other", p.rosterAddress(), p.takenAt(), p.rosterConfirmedAt(), p.roster(), p.learnedState())));
-        assertThat(found().snapshot()).isNull();
-        assertThat(found().rejectedFiles()).singleElement().satisfies(x -> assertThat(x.cause().reason)
-                .isEqualTo(RejectionReason.OTHER_RELAY));
-        keep(2);
-        keep(3);
-        keep(4);
-        assertThat(disk.files).containsKey("state-000000000000000001");
+                        "other",
+                        snapshot.rosterAddress(),
+                        snapshot.takenAt(),
+                        snapshot.rosterConfirmedAt(),
+                        snapshot.roster(),
+                        snapshot.learnedState())));
+        assertThat(readNewest().snapshot()).isNull();
+        assertThat(readNewest().rejectedFiles())
+                .singleElement()
+                .satisfies(rejected -> assertThat(rejected.cause().reason).isEqualTo(RejectionReason.OTHER_RELAY));
+        persist(2);
+        persist(3);
+        persist(4);
+        assertThat(storage.files).containsKey("state-000000000000000001");
     }
 
+    /** Old state is misleading, and a file above the size limit could exhaust the heap. */
     @Test
     void rejectsFileThatIsTooOldOrTooLarge() throws IOException {
-        disk.files.put("state-000000000000000001", StateFileCodec.encode(TestSnapshots.takenAt(NOW - DAY - SECOND, 1)));
-        assertThat(found().rejectedFiles()).singleElement().satisfies(p -> assertThat(p.cause().reason)
-                .isEqualTo(RejectionReason.TOO_OLD));
-        disk.files.put("state-000000000000000002", new byte[(1 << 20) + 1]);
-        assertThat(found().rejectedFiles()).hasSize(2).first().satisfies(p -> assertThat(p.cause().reason)
+        storage.files.put(
+                "state-000000000000000001", StateFileCodec.encode(TestSnapshots.takenAt(NOW - DAY - SECOND, 1)));
+        assertThat(readNewest().rejectedFiles())
+                .singleElement()
+                .satisfies(rejected -> assertThat(rejected.cause().reason).isEqualTo(RejectionReason.TOO_OLD));
+        storage.files.put("state-000000000000000002", new byte[(1 << 20) + 1]);
+        assertThat(readNewest().rejectedFiles()).hasSize(2).first().satisfies(rejected -> assertThat(
+                        rejected.cause().reason)
                 .isEqualTo(RejectionReason.TOO_LARGE));
     }
 
+    /** Foreign content under a state file's name is reported; files with other names are ignored. */
     @Test
-    void reportsFileThatIsNoStateFile() throws IOException {
-        disk.files.put(
+    void reportsFileThatIsNotStateFile() throws IOException {
+        storage.files.put(
                 "state-000000000000000001",
                 "hello, this is a note that somebody left here".getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        disk.files.put("state-000000000000000002", new byte[0]);
-        disk.files.put("notes.txt", new byte[3]);
-        assertThat(found().snapshot()).isNull();
-        assertThat(found().rejectedFiles())
-                .extracting(p -> p.cause().reason)
+        storage.files.put("state-000000000000000002", new byte[0]);
+        storage.files.put("notes.txt", new byte[3]);
+        assertThat(readNewest().snapshot()).isNull();
+        assertThat(readNewest().rejectedFiles())
+                .extracting(rejected -> rejected.cause().reason)
                 .containsExactly(RejectionReason.TORN, RejectionReason.NOT_OURS);
     }
 
-    // ---- the real folder
+    // ---- StateStore
 
-    private PersistenceConfiguration sheet() {
-        return new PersistenceConfiguration(dir, SECOND, DAY, 1 << 20, 2 * SECOND);
+    private PersistenceConfiguration configuration() {
+        return new PersistenceConfiguration(directory, SECOND, DAY, 1 << 20, 2 * SECOND);
     }
 
+    /** Two relays that use one directory would delete each other's state files. */
     @Test
     void rejectsSecondRelayUntilFirstReleasesDirectory() throws IOException {
-        StateStore first = StateStore.open(sheet(), "r", new ArrayList<>());
-        assertThatThrownBy(() -> StateStore.open(sheet(), "r", new ArrayList<>()))
+        StateStore first = StateStore.open(configuration(), "r", new ArrayList<>());
+        assertThatThrownBy(() -> StateStore.open(configuration(), "r", new ArrayList<>()))
                 .isInstanceOf(DirectoryInUseException.class);
         first.close();
-        StateStore.open(sheet(), "r", new ArrayList<>()).close();
+        StateStore.open(configuration(), "r", new ArrayList<>()).close();
     }
 
+    /** Changes of several generations must add up to the complete state, on the real file system. */
     @Test
     void restoresStateAndDeletesTemporaryFilesAfterRestart() throws IOException {
-        try (StateStore keeper = StateStore.open(sheet(), "r", new ArrayList<>())) {
-            assertThat(keeper.restore(NOW, new ArrayList<>())).isNull();
+        try (StateStore store = StateStore.open(configuration(), "r", new ArrayList<>())) {
+            assertThat(store.restore(NOW, new ArrayList<>())).isNull();
             for (int i = 1; i <= 3; i++) {
-                StateChanges hand = new StateChanges();
-                hand.add(TestSnapshots.roster(40 + i, i == 1, "a", "b", "c" + i));
-                hand.add(TestSnapshots.takenAt(NOW, i).learnedState());
-                assertThat(keeper.persist(hand, "d:1", NOW + i, NOW + i)).isNull();
+                StateChanges changes = new StateChanges();
+                changes.add(TestSnapshots.roster(40 + i, i == 1, "a", "b", "c" + i));
+                changes.add(TestSnapshots.takenAt(NOW, i).learnedState());
+                assertThat(store.persist(changes, "d:1", NOW + i, NOW + i)).isNull();
             }
         }
-        Files.write(dir.resolve("state-000000000000000004.new"), new byte[10]);
-        try (StateStore keeper = StateStore.open(sheet(), "r", new ArrayList<>())) {
-            List<LogMessage> said = new ArrayList<>();
-            StateSnapshot picture = keeper.restore(NOW + SECOND, said);
-            assertThat(said).isEmpty();
-            assertThat(picture.roster().entries())
-                    .extracting(l -> l.name())
+        Files.write(directory.resolve("state-000000000000000004.new"), new byte[10]);
+        try (StateStore store = StateStore.open(configuration(), "r", new ArrayList<>())) {
+            List<LogMessage> logMessages = new ArrayList<>();
+            StateSnapshot snapshot = store.restore(NOW + SECOND, logMessages);
+            assertThat(logMessages).isEmpty();
+            assertThat(snapshot.roster().entries())
+                    .extracting(entry -> entry.name())
                     .containsExactly("a", "b", "c1", "c2", "c3");
-            assertThat(picture.roster().version()).isEqualTo(43);
-            assertThat(picture.learnedState().relayStatistics().completedConnections())
+            assertThat(snapshot.roster().version()).isEqualTo(43);
+            assertThat(snapshot.learnedState().relayStatistics().completedConnections())
                     .isEqualTo(3);
-            assertThat(picture.learnedState().backends()).hasSize(2);
-            assertThat(dir.resolve("state-000000000000000004.new")).doesNotExist();
+            assertThat(snapshot.learnedState().backends()).hasSize(2);
+            assertThat(directory.resolve("state-000000000000000004.new")).doesNotExist();
         }
     }
 
+    /** A disk that fails for hours must not log a message for each write. */
     @Test
     void logsFailureOnceAndRecoveryOnce() throws Exception {
-        StateStore keeper = StateStore.open(disk, sheet(), "r", new ArrayList<>());
-        keeper.restore(NOW, new ArrayList<>());
-        disk.readOnly = true;
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-not-kept");
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW)).isNull();
-        disk.readOnly = false;
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-kept-again");
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW)).isNull();
+        StateStore store = StateStore.open(storage, configuration(), "r", new ArrayList<>());
+        store.restore(NOW, new ArrayList<>());
+        storage.readOnly = true;
+        assertThat(store.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-not-kept");
+        assertThat(store.persist(new StateChanges(), null, 0, NOW)).isNull();
+        storage.readOnly = false;
+        assertThat(store.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-kept-again");
+        assertThat(store.persist(new StateChanges(), null, 0, NOW)).isNull();
     }
 
+    /** A relay that could not lock its directory at start-up must not write once another relay holds the lock. */
     @Test
-    void writesOnlyOnceDirectoryIsLocked() throws Exception {
-        disk.readOnly = true;
-        List<LogMessage> said = new ArrayList<>();
-        StateStore keeper = StateStore.open(disk, sheet(), "r", said);
-        assertThat(said).extracting(LogMessage::event).containsExactly("state-not-kept");
-        disk.readOnly = false;
-        disk.isLockedByOtherRelay = true;
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW))
-                .as("said already")
+    void writesOnlyAfterDirectoryIsLocked() throws Exception {
+        storage.readOnly = true;
+        List<LogMessage> logMessages = new ArrayList<>();
+        StateStore store = StateStore.open(storage, configuration(), "r", logMessages);
+        assertThat(logMessages).extracting(LogMessage::event).containsExactly("state-not-kept");
+        storage.readOnly = false;
+        storage.isLockedByOtherRelay = true;
+        assertThat(store.persist(new StateChanges(), null, 0, NOW))
+                .as("the failure was logged before")
                 .isNull();
-        assertThat(disk.files).isEmpty();
-        disk.isLockedByOtherRelay = false;
-        assertThat(keeper.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-kept-again");
-        assertThat(disk.files).hasSize(1);
+        assertThat(storage.files).isEmpty();
+        storage.isLockedByOtherRelay = false;
+        assertThat(store.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-kept-again");
+        assertThat(storage.files).hasSize(1);
     }
 
+    /** Too many pins must not keep the roster and the backend statistics from being persisted. */
     @Test
     void persistsWithoutPinsAndLogsWhenTooLarge() throws Exception {
-        StateStore keeper = StateStore.open(
-                disk, new PersistenceConfiguration(dir, SECOND, DAY, 2_000, SECOND), "r", new ArrayList<>());
-        keeper.restore(NOW, new ArrayList<>());
-        StateChanges hand = new StateChanges();
-        hand.add(TestSnapshots.roster(1, true, "a", "b"));
-        hand.add(new ambertrestle.decide.LearnedState(
+        StateStore store = StateStore.open(
+                storage, new PersistenceConfiguration(directory, SECOND, DAY, 2_000, SECOND), "r", new ArrayList<>());
+        store.restore(NOW, new ArrayList<>());
+        StateChanges changes = new StateChanges();
+        changes.add(TestSnapshots.roster(1, true, "a", "b"));
+        changes.add(new ambertrestle.decide.LearnedState(
                 1,
                 ambertrestle.decide.LearnedState.RelayStatistics.EMPTY,
-                List.of(TestSnapshots.backendState("a", NOW)),
+                List.of(TestSnapshots.backendStatistics("a", NOW)),
                 java.util.stream.LongStream.range(0, 500)
-                        .mapToObj(k -> new ambertrestle.decide.LearnedState.Pin(k, 1, NOW))
+                        .mapToObj(key -> new ambertrestle.decide.LearnedState.Pin(key, 1, NOW))
                         .toList(),
                 false));
-        assertThat(keeper.persist(hand, "d:1", NOW, NOW).event()).isEqualTo("state-too-large");
-        assertThat(found().snapshot().learnedState().pins()).isEmpty();
-        assertThat(found().snapshot().roster().entries()).hasSize(2);
+        assertThat(store.persist(changes, "d:1", NOW, NOW).event()).isEqualTo("state-too-large");
+        assertThat(readNewest().snapshot().learnedState().pins()).isEmpty();
+        assertThat(readNewest().snapshot().roster().entries()).hasSize(2);
     }
 }
--- a/relay/src/test/java/ambertrestle/relay/persistence/StateFileCodecTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/StateFileCodecTest.java
@@ -18,51 +18,75 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
+/** Round trips of arbitrary snapshots, and decoding of arbitrary bytes. */
 class StateFileCodecTest {
-    private static final Arbitrary<Long> ANY = Arbitraries.longs();
-    private static final Arbitrary<Double> AMOUNT = Arbitraries.doubles().between(0, 1e12);
-    private static final Arbitrary<String> NAME = Arbitraries.strings().ofMaxLength(20);
+    private static final Arbitrary<Long> ANY_LONG = Arbitraries.longs();
+    private static final Arbitrary<Double> VALID_DOUBLE = Arbitraries.doubles().between(0, 1e12);
+    private static final Arbitrary<String> TEXT = Arbitraries.strings().ofMaxLength(20);
 
     @Provide
-    Arbitrary<StateSnapshot> pictures() {
-        Arbitrary<RosterMessage.Entry> line = Combinators.combine(
-                        NAME,
-                        NAME,
+    Arbitrary<StateSnapshot> snapshots() {
+        Arbitrary<RosterMessage.Entry> entry = Combinators.combine(
+                        TEXT,
+                        TEXT,
                         Arbitraries.of(Stage.READY, Stage.DRAINING),
-                        NAME,
-                        NAME,
+                        TEXT,
+                        TEXT,
                         Arbitraries.integers(),
-                        AMOUNT,
-                        ANY)
+                        VALID_DOUBLE,
+                        ANY_LONG)
                 .as(RosterMessage.Entry::new);
-        Arbitrary<BackendStatistics> judged = Combinators.combine(ANY, ANY, AMOUNT, AMOUNT, AMOUNT, ANY, ANY)
-                .as((id, at, good, bad, slow, heard, delay) ->
-                        new BackendStatistics(id, heard, at, good, bad, slow, delay, at, heard));
-        Arbitrary<Pin> pin = Combinators.combine(ANY, ANY, ANY).as(Pin::new);
-        Arbitrary<RelayStatistics> whole = Combinators.combine(AMOUNT, ANY, AMOUNT, AMOUNT, Arbitraries.integers(), ANY)
+        Arbitrary<BackendStatistics> backend = Combinators.combine(
+                        ANY_LONG, ANY_LONG, VALID_DOUBLE, VALID_DOUBLE, VALID_DOUBLE, ANY_LONG, ANY_LONG)
+                .as((id, updatedAt, successes, failures, sharedCauseFailures, startedAt, delay) ->
+                        new BackendStatistics(
+                                id,
+                                startedAt,
+                                updatedAt,
+                                successes,
+                                failures,
+                                sharedCauseFailures,
+                                delay,
+                                updatedAt,
+                                startedAt));
+        Arbitrary<Pin> pin = Combinators.combine(ANY_LONG, ANY_LONG, ANY_LONG).as(Pin::new);
+        Arbitrary<RelayStatistics> relayStatistics = Combinators.combine(
+                        VALID_DOUBLE, ANY_LONG, VALID_DOUBLE, VALID_DOUBLE, Arbitraries.integers(), ANY_LONG)
                 .as(RelayStatistics::new);
-        Arbitrary<LearnedState> kept = Combinators.combine(
-                        ANY, whole, judged.list().ofMaxSize(8), pin.list().ofMaxSize(20))
-                .as((table, w, j, p) -> new LearnedState(table, w, j, p, false));
-        return Combinators.combine(NAME, NAME, ANY, ANY, ANY, line.list().ofMaxSize(8), kept)
-                .as((relay, from, at, heard, index, lines, k) ->
-                        new StateSnapshot(relay, from, at, heard, new RosterMessage(index, true, lines), k));
+        Arbitrary<LearnedState> learnedState = Combinators.combine(
+                        ANY_LONG,
+                        relayStatistics,
+                        backend.list().ofMaxSize(8),
+                        pin.list().ofMaxSize(20))
+                .as((tableFormat, statistics, backends, pins) ->
+                        new LearnedState(tableFormat, statistics, backends, pins, false));
+        return Combinators.combine(
+                        TEXT, TEXT, ANY_LONG, ANY_LONG, ANY_LONG, entry.list().ofMaxSize(8), learnedState)
+                .as((relayName, rosterAddress, takenAt, confirmedAt, version, entries, learned) -> new StateSnapshot(
+                        relayName,
+                        rosterAddress,
+                        takenAt,
+                        confirmedAt,
+                        new RosterMessage(version, true, entries),
+                        learned));
     }
 
+    /** Guards against values that are written and read in a different order, or lose precision. */
     @Property(tries = 300, seed = "17")
-    void decodesWhatWasEncoded(@ForAll("pictures") StateSnapshot picture) throws StateFileCodec.RejectedException {
-        assertThat(StateFileCodec.decode(StateFileCodec.encode(picture))).isEqualTo(picture);
+    void decodesWhatWasEncoded(@ForAll("snapshots") StateSnapshot snapshot) throws StateFileCodec.RejectedException {
+        assertThat(StateFileCodec.decode(StateFileCodec.encode(snapshot))).isEqualTo(snapshot);
     }
 
     /**
-     * Danger: a checksum proves only that nothing changed since; what was never a state must not bring a relay down.
+     * A valid checksum proves only that the file is unchanged since it was written. Content that was never a valid
+     * state must be rejected; any other exception would keep the relay from starting.
      */
     @Property(tries = 2000, seed = "18")
     void decodesOrRejectsAnyBytesWithValidChecksum(
-            @ForAll("pictures") StateSnapshot picture, @ForAll byte[] noise, @ForAll int at) {
-        byte[] file = StateFileCodec.encode(picture);
+            @ForAll("snapshots") StateSnapshot snapshot, @ForAll byte[] noise, @ForAll int offset) {
+        byte[] file = StateFileCodec.encode(snapshot);
         for (int i = 0; i < noise.length; i++) {
-            file[StateFileCodec.HEADER_BYTES + Math.floorMod(at + i, file.length - StateFileCodec.HEADER_BYTES)] =
+            file[StateFileCodec.HEADER_BYTES + Math.floorMod(offset + i, file.length - StateFileCodec.HEADER_BYTES)] =
                     noise[i];
         }
         CRC32C crc = new CRC32C();
@@ -70,9 +94,9 @@
         crc.update(file, 28, file.length - 28);
         ByteBuffer.wrap(file).putInt(24, (int) crc.getValue());
         try {
-            StateSnapshot read = StateFileCodec.decode(file);
-            assertThat(read.roster().entries()).allSatisfy(l -> assertThat(List.of(Stage.READY, Stage.DRAINING))
-                    .contains(l.stage()));
+            StateSnapshot decoded = StateFileCodec.decode(file);
+            assertThat(decoded.roster().entries()).allSatisfy(entry -> assertThat(List.of(Stage.READY, Stage.DRAINING))
+                    .contains(entry.stage()));
         } catch (StateFileCodec.RejectedException e) {
             assertThat(e.reason).isEqualTo(StateFileCodec.RejectionReason.MALFORMED);
         }
--- a/relay/src/test/java/ambertrestle/relay/persistence/TestSnapshots.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/TestSnapshots.java
@@ -9,17 +9,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Small pictures for tests. */
+/** Small state snapshots for tests. */
 final class TestSnapshots {
-    static final long SECOND = 1_000_000_000L, NOW = 1_700_000_000L * SECOND;
+    /** Nanoseconds in a second. */
+    static final long SECOND = 1_000_000_000L;
+    /** The tests' current Unix time in nanoseconds. */
+    static final long NOW = 1_700_000_000L * SECOND;
 
     private TestSnapshots() {}
 
-    static RosterMessage roster(long index, boolean whole, String... names) {
-        List<RosterMessage.Entry> lines = new ArrayList<>();
-        for (String name : names) {
-            String[] parts = name.split("=");
-            lines.add(new RosterMessage.Entry(
+    /**
+     * Returns a roster message with one entry for each argument.
+     *
+     * @param namesWithStage the backend's name, optionally followed by `=` and its stage; the stage is READY by default
+     */
+    static RosterMessage roster(long version, boolean isComplete, String... namesWithStage) {
+        List<RosterMessage.Entry> entries = new ArrayList<>();
+        for (String nameWithStage : namesWithStage) {
+            String[] parts = nameWithStage.split("=");
+            entries.add(new RosterMessage.Entry(
                     parts[0],
                     parts[0] + ":80",
                     parts.length < 2 ? Stage.READY : Stage.valueOf(parts[1]),
@@ -29,28 +37,32 @@
                     1,
                     0));
         }
-        return new RosterMessage(index, whole, lines);
+        return new RosterMessage(version, isComplete, entries);
     }
 
-    static BackendStatistics backendState(String backend, long at) {
-        return new BackendStatistics(RosterMessage.backendId(backend), 0, at, 1, 8, 4, 40_000_000, at, 0);
+    static BackendStatistics backendStatistics(String backend, long updatedAt) {
+        return new BackendStatistics(RosterMessage.backendId(backend), 0, updatedAt, 1, 8, 4, 40_000_000, updatedAt, 0);
     }
 
-    /** Of relay r, kept and heard at that time; `mark` tells one from another. */
-    static StateSnapshot takenAt(long keptAt, int mark) {
+    /**
+     * Returns a snapshot of relay `r` that was taken, and whose roster was confirmed, at the given time.
+     *
+     * @param marker distinguishes snapshots; stored as the number of completed connections
+     */
+    static StateSnapshot takenAt(long takenAt, int marker) {
         return new StateSnapshot(
                 "r",
                 "d:1",
-                keptAt,
-                keptAt,
-                roster(40 + mark, true, "a", "b", "c=DRAINING"),
+                takenAt,
+                takenAt,
+                roster(40 + marker, true, "a", "b", "c=DRAINING"),
                 new LearnedState(
                         9,
-                        new RelayStatistics(mark, 10 * SECOND, 5, 2.5, 7, 0),
-                        List.of(backendState("a", keptAt), backendState("b", keptAt)),
+                        new RelayStatistics(marker, 10 * SECOND, 5, 2.5, 7, 0),
+                        List.of(backendStatistics("a", takenAt), backendStatistics("b", takenAt)),
                         List.of(
                                 new Pin(-7, RosterMessage.backendId("a"), Pin.IN_USE),
-                                new Pin(8, RosterMessage.backendId("b"), keptAt - SECOND)),
+                                new Pin(8, RosterMessage.backendId("b"), takenAt - SECOND)),
                         false));
     }
 }
