--- a/core/src/main/java/ambertrestle/decide/Backend.java
+++ b/core/src/main/java/ambertrestle/decide/Backend.java
@@ -7,21 +7,54 @@
  * nanoseconds, loads in nanoseconds of work per second.
  */
 final class Backend {
+    private static final long SECOND = 1_000_000_000L;
+    /** Keeps a backend's hash apart from that of a key with the same number; 2^64 divided by the golden ratio. */
+    private static final long ID_HASH_SALT = 0x9e3779b97f4a7c15L;
+    /** Half-life of the counts of successes and failures. */
+    static final long EVIDENCE_HALF_LIFE = 4 * SECOND;
+    /** Decayed counts below this, in successes or failures, are taken as no evidence. */
+    static final double MIN_EVIDENCE = 0.25;
+    /** Consecutive failed set-ups after which a backend that is missing from the roster counts as gone. */
+    static final int MAX_FAILURES_WHILE_MISSING = 2;
+    /** Time for which a backend is avoided after it refused a dispatch because it was full. */
+    static final long OVER_CAPACITY_DURATION = SECOND / 2;
+    /** A backend is slow if its reported delay exceeds the shortest message goal divided by this. */
+    static final int GOAL_TO_SLOW_DELAY_RATIO = 3;
+    /** Seconds for which a delay report is valid while connections are open here; newer reports can follow it then. */
+    static final int DELAY_REPORT_SECONDS = 3;
+    /** Longest validity of a delay report in seconds, without open connections here. */
+    static final int MAX_DELAY_REPORT_SECONDS = 30;
+    /** Time in which the load limit grows to 2.5 times the load at which the backend was last slow. */
+    static final long LOAD_LIMIT_RELAXATION = 10 * SECOND;
+    /** One in this many connections of an overloaded or slow backend is asked to move at a time. */
+    static final int OFFLOAD_ONE_IN = 6;
+    /** Shortest time between two load-based requests to move connections away. */
+    static final long OFFLOAD_INTERVAL = SECOND;
+    /** Time after such a request in which the backend counts as over capacity. */
+    static final long OFFLOAD_RECOVERY = 5 * SECOND;
+    /** Time without any activity after which a backend without connections counts as idle. */
+    static final long IDLE_AFTER = 5 * SECOND;
+    /** Resets that are at most this far apart are taken as one event. */
+    static final long MIN_RESET_GAP = SECOND / 10;
+    /** Resets that are at least this far apart are taken as unrelated. */
+    static final long MAX_RESET_GAP = 2 * SECOND;
+
+    /** Id of the backend in the roster, unsigned. */
     final long id;
     /** Hash of the id, for the lookup table and for rendezvous hashing. */
     final long hash;
 
-    /** State according to the roster; GONE until the first roster entry. */
+    /** Stage according to the roster; {@code GONE} until the first roster entry. */
     RosterEntry.Stage stage = RosterEntry.Stage.GONE;
     /** Start time of the backend's process; 0 if it started long ago or is unknown. */
     long startedAt;
-    /** Cell of the backend. Deduplication may be limited to it. */
+    /** Cell of the backend, by its number in the roster. Deduplication may be limited to it. */
     int cell;
-    /** Zone of the backend. Deduplication may be limited to it. */
+    /** Zone of the backend, by its number in the roster. Deduplication may be limited to it. */
     int zone;
-    /** Capacity relative to other backends. */
+    /** Capacity relative to other backends; 1 if roster weights don't count. */
     double weight = 1;
-    /** The roster calls the backend gone, but this isn't confirmed by failed set-ups yet. */
+    /** The roster calls the backend gone, but failed set-ups haven't confirmed this yet. */
     boolean missingFromRoster;
     /** Consecutive failed set-ups while the backend is missing from the roster. */
     int setUpFailuresWhileMissing;
@@ -37,9 +70,9 @@
 
     /** Successful set-ups, as a count that decays exponentially. */
     double successes;
-    /** Failures, as a count that decays exponentially. */
+    /** Failed dispatches, as a count that decays exponentially; a reset of an established connection counts half. */
     double failures;
-    /** The failures that a dependency shared by all backends may have caused, decaying in the same way. */
+    /** Errors and timeouts among the failures, decaying alike; a dependency shared by all backends may cause them. */
     double sharedCauseFailures;
     /** Time up to which the three counts have been decayed. */
     long evidenceUpdatedAt;
@@ -48,7 +81,7 @@
     long overCapacityUntil;
     /** When a dispatch was last sent there or a connection there ended; at first the time of the first roster entry. */
     long lastActiveAt;
-    /** Dispatches that the slow start budget still allows, in fractions; may be negative. */
+    /** Dispatches, including fractions, that the slow start budget still allows; may be negative. */
     double slowStartBudget;
     /** Time up to which the slow start budget has been refilled. */
     long slowStartBudgetUpdatedAt;
@@ -65,14 +98,14 @@
     /** When connections were last asked to move because of the load here; the initial value means long ago. */
     long lastOffloadAt = Long.MIN_VALUE / 2;
 
-    /** Equal to the balancer's current mark if the current pass has visited this backend. */
+    /** Number of the balancer's pass that last visited this backend. */
     int visitMark;
-    /** Equal to the mark of the current selection if an open connection of its key is here. */
+    /** Number of the last selection that found an open connection of its key here. */
     int holdsKeyMark;
 
     Backend(long id) {
         this.id = id;
-        hash = mix64(id ^ 0x9e3779b97f4a7c15L);
+        hash = mix64(id ^ ID_HASH_SALT);
     }
 
     /** Hashes an id or key to 64 evenly distributed bits (the finalizer of SplitMix64). */
@@ -82,7 +115,9 @@
         return value ^ (value >>> 31);
     }
 
-    /** Decays the success and failure counts up to now, by one half per half-life, and returns this backend. */
+    /**
+     * Halves the success and failure counts once per half-life of the time since the last call; returns this backend.
+     */
     Backend decayEvidence(long now, long halfLife) {
         if (now != evidenceUpdatedAt) {
             double decayFactor = Math.pow(0.5, (double) (now - evidenceUpdatedAt) / halfLife);
@@ -116,8 +151,8 @@
         if (stage == RosterEntry.Stage.GONE || persisted.startedAt() != startedAt) {
             return false;
         }
-        // Takes the earlier time. A grace period that began again with each start of the relay would let restarts
-        // extend the time in which a draining backend gets dispatches.
+        // The earlier of both times counts. If the grace period began again with each start of the relay, restarts
+        // would extend the time in which a draining backend gets dispatches.
         drainNoticedAt = stage != RosterEntry.Stage.READY && persisted.drainNoticedAt() > 0
                 ? Math.min(drainNoticedAt, persisted.drainNoticedAt())
                 : drainNoticedAt;
@@ -130,13 +165,13 @@
         return true;
     }
 
-    /** Adds an established connection and records its index in the list. */
+    /** Adds an established connection to the open ones and stores its index in the association. */
     void addConnection(Association association) {
         association.openConnectionIndex = openConnections.size();
         openConnections.add(association);
     }
 
-    /** Removes the connection in constant time, moving the last one to its index; false if it wasn't open here. */
+    /** Removes an open connection in constant time by moving the last one to its index; false if it isn't open. */
     boolean removeConnection(Association association) {
         if (association.openConnectionIndex < 0) {
             return false;
@@ -150,16 +185,16 @@
         return true;
     }
 
-    /** Open connections and pending dispatches. */
+    /** Returns the number of open connections and pending dispatches. */
     int connectionCount() {
         return openConnections.size() + pendingDispatches;
     }
 
     /**
-     * Returns the load including an estimate for pending dispatches, or the number of connections if no load is
-     * reported.
+     * Returns the load in nanoseconds of work per second, including an estimate for pending dispatches; if no load is
+     * reported, the number of open connections and pending dispatches.
      *
-     * @param meanConnectionLoad mean load of one connection, 0 if no load is reported
+     * @param meanConnectionLoad mean load of one connection; 0 if no load is reported
      */
     double effectiveLoad(double meanConnectionLoad) {
         return meanConnectionLoad == 0 ? connectionCount() : load + pendingDispatches * meanConnectionLoad;
--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -1,10 +1,6 @@
 package ambertrestle.decide;
 
-import ambertrestle.decide.Association.DispatchState;
-import ambertrestle.decide.Decision.Kind;
 import ambertrestle.decide.RosterEntry.Stage;
-import ambertrestle.decide.UseCase.DeduplicationScope;
-import ambertrestle.decide.UseCase.Effect;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -19,95 +15,211 @@
  * the time, which stays the same within a batch of events. There is no I/O, and random choices follow from the seed.
  * Times are in nanoseconds, loads in nanoseconds of work per second.
  *
- * <p>Ordinary path: the tracking table maps a key (the association's group, else its client) to the backend that holds
- * its connections. On a miss, the Maglev lookup table gives an order of backends that depends only on key and roster,
- * so that all relays agree. Mechanisms beside it: capacity weighting (slots in proportion to roster weight); load
- * limits (slow or overloaded backends are passed over even on a hit, a group is limited to a subset of backends, and
- * connections are moved off slow backends, the heaviest first); rebalancing during slow starts (misplaced connections
- * move to their assigned backend); slow start (a cold backend's weight grows with its age, and a budget limits
- * dispatches to it); outlier detection (a backend with failures gets work by its estimated chance of success); set-up
- * pacing (dispatches time out in time for a retry, and are spaced during widespread set-up failures); drain handling
- * (no new dispatch after half of the grace period); learned state (persisted by the caller, restored at a restart).
+ * <p>Ordinary path: the tracking table maps an association's key (its group, or else its client) to the backend of the
+ * connection that the key opened last. If that backend is eligible, it gets the dispatch. Otherwise the Maglev lookup
+ * table gives an order of backends that depends only on the key and the roster, so that all relays agree on it, and the
+ * first eligible backend in that order gets the dispatch. If none is eligible, the association waits with exponential
+ * backoff until its goal time and is then given up.
+ *
+ * <p>Four rules hold for every decision:
+ *
+ * <ol>
+ *   <li>Each association gets exactly one final answer.
+ *   <li>No effect happens twice: a dispatch that may have run is only repeated where that is safe.
+ *   <li>A draining backend gets no new dispatch after its grace period.
+ *   <li>A cold backend is not overloaded.
+ * </ol>
+ *
+ * <p>Mechanisms beside the ordinary path:
+ *
+ * <ul>
+ *   <li>Capacity weighting: a backend takes slots of the lookup table in proportion to its roster weight.
+ *   <li>Load limits: slow and overloaded backends are passed over, also if the tracking table has a pin to them. A
+ *       group's connections are limited to a subset of the backends.
+ *   <li>Offloading: some connections are asked to leave a slow or overloaded backend, the heaviest first.
+ *   <li>Rebalancing: while delay is unobserved, during slow starts and shortly after, a few connections per second move
+ *       to the backend that the lookup table assigns to them by now.
+ *   <li>Slow start: a cold backend's weight grows with its age. A budget limits the dispatches to it.
+ *   <li>Outlier detection: a backend with recent failures gets a dispatch with the probability that most of its set-ups
+ *       currently succeed.
+ *   <li>Set-up pacing: dispatches time out early enough for a retry before the goal time. During widespread set-up
+ *       failures, set-ups are spaced.
+ *   <li>Learned state: the caller persists it and restores it after a restart, so that a relay doesn't start without
+ *       pins and backend statistics.
+ * </ul>
  */
 public final class Balancer implements BalancingPolicy {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1_000 * MILLISECOND;
-    private static final int LOOKUP_TABLE_SIZE = 4093; // prime, so that every skip reaches all slots
-    private static final int MAX_TRACKING_ENTRIES = 1 << 16; // beyond it the least recently used entry is evicted
-    // Changes missed by a silent watch count as received after 6 s. Finding it silent takes 3.2 s of that.
+    /**
+     * Slots of the lookup table. The number is prime, so that every skip reaches all slots. Weighted turns keep each
+     * backend's share exact to one slot.
+     */
+    private static final int LOOKUP_TABLE_SIZE = 4093;
+    /** Entries of the tracking table. Beyond this number the least recently used entry is evicted. */
+    private static final int MAX_TRACKING_ENTRIES = 1 << 16;
+    /** Time from the end of a key's last connection until its tracking entry is removed. */
+    private static final long TRACKING_ENTRY_LIFETIME = 60 * SECOND;
+    /**
+     * Longest delay of the first roster call after a failure. Changes that a silent watch misses count as received
+     * after 6 s, of which 3.2 s pass before the watch is found silent.
+     */
     private static final long MAX_FIRST_ROSTER_RETRY_DELAY = 2_300 * MILLISECOND;
-    private static final int MAX_FAILURES_WHILE_MISSING = 2; // failed set-ups in a row, then it counts as gone
-    // A relay sees one in relayCount^2 of the pairs of one group. Below about 16 relays it misses little.
+    /**
+     * Scale of {@link #unobservedShare}. A relay sees one in relayCount^2 of the pairs of connections of one group;
+     * below about 16 relays it misses little.
+     */
     private static final int PAIR_VISIBILITY_SCALE = 16 * 16;
-    private static final int UNOBSERVED_PAIRS = 4; // per group, assumed where others hold nearly all connections
-    private static final int REBALANCE_ONE_IN = 8; // one in this many misplaced connections moves per second
-    private static final int MAX_REBALANCE_CANDIDATES = 256; // connections examined per second, approximately
-    private static final long REBALANCE_AFTER_SLOW_START = 5 * SECOND; // rebalancing goes on this long after the last
-    private static final long TRACKING_ENTRY_LIFETIME = 60 * SECOND; // from the end of the last connection
-    private static final long EVIDENCE_HALF_LIFE = 4 * SECOND; // of set-up successes and failures
+    /** Pairs of one group's connections that a relay assumes where other relays hold nearly all connections. */
+    private static final int UNOBSERVED_PAIRS = 4;
+    /** One in this many misplaced connections moves per second. */
+    private static final int REBALANCE_ONE_IN = 8;
+    /** Connections examined per second for rebalancing; all connections of the last backend are examined too. */
+    private static final int MAX_REBALANCE_CANDIDATES = 256;
+    /** Time for which rebalancing goes on after the last slow start has ended. */
+    private static final long REBALANCE_AFTER_SLOW_START = 5 * SECOND;
+    /** Time constant of the exponential decay of completed connections, and longest time that their rate covers. */
+    private static final long COMPLETION_RATE_WINDOW = 10 * SECOND;
+    /** Shortest interval between paced set-ups of all relays together; one relay's is this times the relay count. */
+    private static final int MIN_SET_UP_INTERVAL_MILLIS = 12;
+    /** Lowest rate of paced set-ups, in set-ups per second of all relays together. */
+    private static final int MIN_SET_UP_RATE = 8;
+    /** Shortest time between two log messages. */
+    private static final long LOG_INTERVAL = 5 * SECOND;
 
     private final SplittableRandom random;
+    /** Every backend that the roster ever listed or that had an adopted connection or a delay report. */
     private final HashMap<Long, Backend> backendsById = new HashMap<>();
-    private Backend[] tableMembers = new Backend[0]; // ready and draining backends, sorted by id
+    /** Ready and draining backends, sorted by unsigned id: the members of the lookup table. */
+    private Backend[] tableMembers = new Backend[0];
+    /** Maglev lookup table; empty if it has no members. */
     private Backend[] lookupTable = new Backend[0];
-    private Backend[] preferenceOrder = new Backend[0]; // distinct backends from the current key's slot on
-    private int preferenceCount; // backends in preferenceOrder
-    private int nextTableSlot; // where the walk goes on, not reduced modulo the table's size
-    private final LinkedHashMap<Long, TrackingEntry> trackingTable = new LinkedHashMap<>(256, 0.75f, true); // LRU order
-    private long nextPurgeAt; // of unused tracking entries
-    private int currentMark; // generation number of the latest pass that marks visited backends
-    private DueActions pendingActions = new DueActions(); // collected until the next poll
+    /** Distinct backends in the order in which the walk from the current key's slot reached them. */
+    private Backend[] preferenceOrder = new Backend[0];
+    /** Number of backends that the current walk has put into {@link #preferenceOrder}. */
+    private int preferenceCount;
+    /** Slot at which the current walk goes on, not reduced modulo the table's size. */
+    private int nextTableSlot;
+    /** Tracking entries by placement key or pin key, in order of last access. */
+    private final LinkedHashMap<Long, TrackingEntry> trackingTable = new LinkedHashMap<>(256, 0.75f, true);
+    /** When unused tracking entries are next removed. */
+    private long nextPurgeAt;
+    /** Number of the latest pass over backends; a backend with an equal mark was visited in it. */
+    private int currentMark;
+    /** Actions collected until the next poll. */
+    private DueActions pendingActions = new DueActions();
+    /** Time of the last log message; the initial value means long ago. */
     private long lastLoggedAt = Long.MIN_VALUE / 2;
 
+    /** Use cases by the index that associations refer to. */
     private final UseCase[] useCases;
-    private final int maxDispatches; // per association
-    private final int relayCount; // relays of the deployment, this one included
-    private final boolean allowsConcurrentDispatches; // of one association
-    private final boolean usesRosterWeights; // else all backends weigh 1
-    private final boolean isDelayReported; // delay reports arrive
-    private final boolean isDelayUnobserved; // the wire protocol shows no message delay at all
-    private final boolean removalNeedsConfirmation; // a roster entry alone doesn't remove a ready backend
-    private final boolean isRosterPushed; // pushed by an agent; no calls at start
-    private final long drainGracePeriod; // from when this relay learned of the drain
-    private final long rosterCallDeadline; // after it the relay counts as informed of a roster change
-    private final long slowStartDuration; // age at which a backend is warm
-    private final long slowStartBudgetWindow; // time over which unused budget accumulates
-    private final long shedRetryAfter; // sent to shed clients; 0 for none
-    private final double slowStartInitialFactor; // slow start factor at age 0
-    private final double slowStartBudgetMultiple; // budget as a multiple of the rate of completed connections
-    private final double totalConnectionQuota; // connections, summed over all tenants
-    private long shortestMessageGoal = Long.MAX_VALUE / 4; // shortest goal for the delay of a message
-    private long longestCutOff; // longest time that any client waits for an answer
-    private double typicalLoad; // moving average of the load per connection
-    private int loadReportCount; // load reports that typicalLoad rests on
-    private long nextWatchAt; // when to call the roster service; Long.MAX_VALUE if no call is due
-    private int rosterCallFailures; // consecutive
-    private long nextRebalanceAt; // at most one pass a second
-    private int rebalanceIndex; // member of the table at which the next rebalancing starts
-    private double completedConnections; // decaying count, an estimate of the rate that warm backends sustain
-    private long completedConnectionsUpdatedAt; // the count has decayed up to this time
-    private long observedSince; // since when completed connections are counted
-    private double typicalSetUpTime; // moving average, 0 before the first set-up
-    private long setUpInterval; // between two set-ups while they are paced, else 0
-    private long nextSetUpAt; // next time not yet reserved for a set-up
-    // Sums over the ready backends, unless stated otherwise.
-    private double effectiveWeightSum; // sum of weight times slow start factor
-    private double rosterWeightSum; // sum of the weights alone
-    private double effectiveBackendCount; // sum of the slow start factors
-    private double totalLoad; // of open connections
-    private int totalConnections; // open and pending
-    private int occupiedBackends; // backends of any stage with an open connection
-    private int readyBackends; // count, cold ones included
-    private long sameKeyPairs; // pairs of open connections with the same placement key; estimates the number of groups
-    private long totalsUpdatedAt; // when all sums were last recomputed
-    private long slowStartsEndAt = Long.MIN_VALUE; // when the last known slow start ends
-    private final LinkedHashSet<Backend> slowBackends = new LinkedHashSet<>(); // includes ones whose report has expired
-    private final LinkedHashSet<Backend> recentlyTriedBackends = new LinkedHashSet<>(); // with recent set-up evidence
-    private final ChangeTracker changeTracker = new ChangeTracker(); // changes since the last takeLearnedStateChanges
-    private long staleRosterSince; // when it started with a roster too old to show restarts; 0 once a new one arrives
-    private double restoredCompletionRate; // connections completed per nanosecond in the previous process
-    private boolean hasWidespreadSetUpFailures; // many backends fail at once: a shared cause is assumed
+    /** Limit on the dispatches of one association. */
+    private final int maxDispatches;
+    /** Number of relays of the deployment, this one included. */
+    private final int relayCount;
+    /** An association may be dispatched again while an earlier dispatch is in flight. */
+    private final boolean allowsConcurrentDispatches;
+    /** Roster weights count; otherwise every backend weighs 1. */
+    private final boolean usesRosterWeights;
+    /** Delay reports arrive. */
+    private final boolean isDelayReported;
+    /** The wire protocol shows no message delay. Repeated resets by a backend are then taken as a sign of overload. */
+    private final boolean isDelayUnobserved;
+    /** A ready backend that the roster calls gone is only removed once set-ups fail there too. */
+    private final boolean removalNeedsConfirmation;
+    /** A local agent pushes the roster, so that no call is needed at start. */
+    private final boolean isRosterPushed;
+    /** Time for which a draining backend may get dispatches, from when this relay learned of the drain. */
+    private final long drainGracePeriod;
+    /** Time after which the relay counts as informed of a roster change; 16 s unless it is set. */
+    private final long rosterCallDeadline;
+    /** Age at which a backend is warm. */
+    private final long slowStartDuration;
+    /** Time over which unused slow start budget accumulates. */
+    private final long slowStartBudgetWindow;
+    /** Time after which shed clients may retry, sent to them; 0 if none is sent. */
+    private final long shedRetryAfter;
+    /** Slow start factor at age 0. */
+    private final double slowStartInitialFactor;
+    /** Rate at which the slow start budget grows, as a multiple of the rate of completed connections. */
+    private final double slowStartBudgetMultiple;
+    /** Quota of connections, summed over all tenants; 0 if there is none. */
+    private final double totalConnectionQuota;
+    /** Shortest goal for the delay of a message; very large if no goal is set. */
+    private long shortestMessageGoal = Long.MAX_VALUE / 4;
+    /** Longest time that a client of any use case waits for an answer. */
+    private long longestCutOff;
+    /** Moving average of the load per connection; 0 before the first load report. */
+    private double typicalLoad;
+    /** Number of load reports that {@link #typicalLoad} rests on. */
+    private int loadReportCount;
+
+    /** When to call the roster service; {@code Long.MAX_VALUE} if no call is due. */
+    private long nextWatchAt;
+    /** Consecutive failed roster calls; determines the backoff. */
+    private int rosterCallFailures;
+    /** Time of the next rebalancing pass, at most one per second. */
+    private long nextRebalanceAt;
+    /** Index of the table member at which the next rebalancing pass starts. */
+    private int rebalanceIndex;
+    /** Normally ended connections, decaying exponentially; an estimate of what warm backends sustain. */
+    private double completedConnections;
+    /** Time up to which {@link #completedConnections} has been decayed. */
+    private long completedConnectionsUpdatedAt;
+    /** Since when completed connections are counted; restoring learned state sets it back by the time it covers. */
+    private long observedSince;
+    /** Moving average of the set-up time; 0 before the first set-up. */
+    private double typicalSetUpTime;
+    /** Time between two set-ups of this relay while set-ups are paced; 0 if they are not. */
+    private long setUpInterval;
+    /** Earliest time that is not yet reserved for a set-up. */
+    private long nextSetUpAt;
+    /** Sum over the ready backends of weight times slow start factor. */
+    private double effectiveWeightSum;
+    /** Sum over the ready backends of the weights alone. */
+    private double rosterWeightSum;
+    /** Sum over the ready backends of the slow start factors. */
+    private double effectiveBackendCount;
+    /** Sum over the ready backends of the loads of this relay's open connections. */
+    private double totalLoad;
+    /** Sum over the ready backends of this relay's open connections and pending dispatches. */
+    private int totalConnections;
+    /** Number of backends of any stage with an open connection of this relay. */
+    private int occupiedBackends;
+    /** Number of ready backends, cold ones included. */
+    private int readyBackends;
+    /** Pairs of open connections with the same placement key; the number of groups is estimated from it. */
+    private long sameKeyPairs;
+    /** When the sums over the ready backends were last recomputed. */
+    private long totalsUpdatedAt;
+    /** When the last known slow start ends, plus a margin in which the sums are recomputed once more. */
+    private long slowStartsEndAt = Long.MIN_VALUE;
+    /** Backends that may be slow; those whose report has expired are dropped at the next selection. */
+    private final LinkedHashSet<Backend> slowBackends = new LinkedHashSet<>();
+    /** Backends with recent evidence of set-ups, so that detecting widespread failures needn't visit all backends. */
+    private final LinkedHashSet<Backend> recentlyTriedBackends = new LinkedHashSet<>();
+    /** Records what changed since learned state was last taken. */
+    private final ChangeTracker changeTracker = new ChangeTracker();
+    /**
+     * When the relay started with a roster so old that any backend may have restarted since; 0 if it didn't, and once a
+     * current roster has arrived.
+     */
+    private long staleRosterSince;
+    /**
+     * Connections completed per nanosecond in the previous process; 0 without learned state. Used while the roster is
+     * stale, since connections of this process take time to complete.
+     */
+    private double restoredCompletionRate;
+    /** More than half of the recently tried backends fail set-ups; a cause that they share is assumed. */
+    private boolean hasWidespreadSetUpFailures;
 
+    /**
+     * Creates the balancer of a relay that starts now.
+     *
+     * @param settings the flat settings; missing or invalid ones fail with an {@link IllegalArgumentException}
+     * @param seed seed of all random choices
+     * @param now current time in nanoseconds
+     */
     public Balancer(Map<String, String> settings, long seed, long now) {
         random = new SplittableRandom(seed);
         useCases = new UseCase[(int) Settings.getDouble(settings, "useCases.count")];
@@ -118,7 +230,6 @@
         maxDispatches = (int) Settings.getDouble(settings, "limits.dispatches");
         allowsConcurrentDispatches = Boolean.parseBoolean(settings.get("limits.secondCopies"));
         isDelayReported = "true".equals(settings.get("familyInfo.tellsDelay"));
-        // The wire protocol shows no delay. Repeated resets by a backend are then taken as a sign of overload.
         isDelayUnobserved = "unseen".equals(settings.get("familyInfo.tellsDelay"));
         drainGracePeriod = (long) Settings.getDouble(settings, "rules.drainGrace");
         removalNeedsConfirmation = Settings.getBoolean(settings, "rules.onlyDrainingBinds");
@@ -149,25 +260,28 @@
     }
 
     // ---- decisions
+
     @Override
     public Decision selectBackend(Association association, long now) {
         if (association.closed || association.hasDispatchInFlight()) {
             return Decision.NOTHING;
         }
-        // Answers now if no dispatch is possible any more. Otherwise the client would wait until its cut-off.
+        // Gives the final answer as soon as no dispatch is possible any more. Otherwise the client would wait until its
+        // cut-off.
         if (now >= association.cutOffAt
                 || association.dispatchCount - association.uncountedDispatches >= maxDispatches
                 || !isSafeToRepeat(association, null, now)) {
             return shedOrForfeit(association);
         }
-        // Set-up pacing: waits for the next free set-up time, unless too little time would be left then.
+        // Set-up pacing: waits for the next free set-up time, or gives up if that leaves less than a quarter of the use
+        // case's cut-off time.
         if (setUpInterval > 0 && now < nextSetUpAt && association.reservedSetUpAt == 0 && !association.isMidFlow) {
             if (nextSetUpAt >= association.cutOffAt - useCases[association.useCase].cutOff() / 4) {
                 return shedOrForfeit(association);
             }
             association.reservedSetUpAt = nextSetUpAt;
             nextSetUpAt += setUpInterval;
-            return new Decision(Kind.WAIT, 0, association.reservedSetUpAt);
+            return new Decision(Decision.Kind.WAIT, 0, association.reservedSetUpAt);
         }
         association.reservedSetUpAt = 0;
         nextSetUpAt = Math.max(nextSetUpAt, now + setUpInterval);
@@ -180,17 +294,19 @@
             Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
         if (dispatch < 0
                 || dispatch >= association.dispatchCount
-                || association.dispatchStates[dispatch] != DispatchState.IN_FLIGHT) {
+                || association.dispatchStates[dispatch] != Association.DispatchState.IN_FLIGHT) {
             return Decision.NOTHING;
         }
         Backend backend = backendsById.get(association.sentTo[dispatch]);
-        association.dispatchStates[dispatch] = outcome.neverRan ? DispatchState.NEVER_RAN : DispatchState.MAY_HAVE_RUN;
+        association.dispatchStates[dispatch] =
+                outcome.neverRan ? Association.DispatchState.NEVER_RAN : Association.DispatchState.MAY_HAVE_RUN;
         removeConnection(association, backend, now);
         recordOutcome(backend, outcome, association.established, now);
         changeTracker.markChanged(backend);
         // An old roster lists backends that are gone. Attempts at those must not use up the dispatch limit.
         association.uncountedDispatches += staleRosterSince > 0 && outcome == DispatchOutcome.NOT_CONNECTED ? 1 : 0;
-        // If all set-ups become slow and the timeout stays short, each association is dispatched several times.
+        // The timeout follows set-ups that become slow. With a timeout that stays short, each association would be
+        // dispatched several times.
         typicalSetUpTime = outcome == DispatchOutcome.TIMED_OUT
                 ? Math.max(typicalSetUpTime, (now - association.sentAt[dispatch]) / 2.0)
                 : typicalSetUpTime;
@@ -228,31 +344,35 @@
     }
 
     // ---- events
+
     @Override
-    public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+    public void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now) {
         rosterCallFailures = 0;
         currentMark++;
-        staleRosterSince = cached ? staleRosterSince : 0;
-        boolean changed = false;
+        staleRosterSince = isCached ? staleRosterSince : 0;
+        boolean isTableChanged = false;
         for (RosterEntry entry : entries) {
             Backend backend = backendsById.computeIfAbsent(entry.backend(), Backend::new);
             backend.visitMark = currentMark;
-            changed |= applyRosterEntry(backend, entry, now);
+            isTableChanged |= applyRosterEntry(backend, entry, now);
         }
-        if (complete) {
-            for (Backend b : tableMembers) {
-                if (b.visitMark != currentMark) {
-                    changed |=
-                            applyRosterEntry(b, new RosterEntry(b.id, Stage.GONE, 0, b.cell, b.weight, b.zone, 0), now);
+        if (isComplete) {
+            for (Backend backend : tableMembers) {
+                if (backend.visitMark != currentMark) {
+                    isTableChanged |= applyRosterEntry(
+                            backend,
+                            new RosterEntry(backend.id, Stage.GONE, 0, backend.cell, backend.weight, backend.zone, 0),
+                            now);
                 }
             }
         }
-        if (changed) {
+        if (isTableChanged) {
             rebuildTableMembers();
         }
         recomputeTotals(now);
     }
 
+    /** Collects the members of the lookup table from all known backends and refills the table. */
     private void rebuildTableMembers() {
         tableMembers = backendsById.values().stream()
                 .filter(b -> b.stage != Stage.GONE)
@@ -264,20 +384,26 @@
     @Override
     public void onRosterCallFailed(long now) {
         logRateLimited("roster call failed, asking again", now);
-        // Backoff with jitter. Relays that retry in step would overload the service, and all would fail again.
-        long base = rosterCallDelayRange(Math.min(rosterCallFailures, 4));
-        // The first retry comes early, because changes that a silent watch misses count as received meanwhile.
+        // Exponential backoff with jitter, at most 16 times the first range. Relays that retry in step would overload
+        // the service, and all of them would fail again.
+        long delayRange = rosterCallDelayRange(Math.min(rosterCallFailures, 4));
+        // The first retry comes early, because the relay counts as informed of changes that a silent watch misses.
         nextWatchAt = now
                 + (rosterCallFailures++ == 0
-                        ? random.nextLong(Math.min(base, MAX_FIRST_ROSTER_RETRY_DELAY))
-                        : base / 2 + random.nextLong(base));
+                        ? random.nextLong(Math.min(delayRange, MAX_FIRST_ROSTER_RETRY_DELAY))
+                        : delayRange / 2 + random.nextLong(delayRange));
     }
 
-    /** Range to spread all relays' calls over: 50 ms each, doubled {@code doublings} times, up to half the deadline. */
+    /**
+     * Returns the time in nanoseconds over which the roster calls of all relays are spread: 50 ms for each relay,
+     * doubled {@code doublings} times. It is limited to half of {@link #rosterCallDeadline}, so that a call is made in
+     * time.
+     */
     private long rosterCallDelayRange(int doublings) {
-        // A pushed roster counts as received once the local agent has it, even while no watch is open.
-        long limit = Math.min(isRosterPushed ? SECOND / 4 : 8 * SECOND, rosterCallDeadline / 2);
-        return Math.max(1, Math.min(limit, relayCount * 50 * MILLISECOND << doublings));
+        // A pushed roster counts as received once the local agent has it, even while no watch is open. The range is
+        // therefore short.
+        long maxRange = Math.min(isRosterPushed ? SECOND / 4 : 8 * SECOND, rosterCallDeadline / 2);
+        return Math.max(1, Math.min(maxRange, relayCount * 50 * MILLISECOND << doublings));
     }
 
     @Override
@@ -290,30 +416,32 @@
     }
 
     @Override
-    public LearnedState takeLearnedStateChanges(int maxEntries, long now) {
+    public LearnedState takeLearnedStateChanges(int maxChanges, long now) {
         LearnedState.RelayStatistics relayStatistics = new LearnedState.RelayStatistics(
                 decayCompletedConnections(now),
-                Math.min(now - observedSince, 10 * SECOND),
+                Math.min(now - observedSince, COMPLETION_RATE_WINDOW),
                 typicalSetUpTime,
                 typicalLoad,
                 loadReportCount,
                 setUpInterval);
         return changeTracker.takeChanges(
-                maxEntries, tableFormat(), relayStatistics, backendsById.values(), trackingTable.values());
+                maxChanges, tableFormat(), relayStatistics, backendsById.values(), trackingTable.values());
     }
 
     @Override
-    public void restoreLearnedState(LearnedState state, boolean startTimesUnknown, long now) {
-        completedConnections = state.relayStatistics().completedConnections();
+    public void restoreLearnedState(LearnedState learnedState, boolean isRosterStale, long now) {
+        completedConnections = learnedState.relayStatistics().completedConnections();
         completedConnectionsUpdatedAt = now;
-        observedSince = Math.min(observedSince, now - state.relayStatistics().observedFor());
-        restoredCompletionRate = completedConnections / (state.relayStatistics().observedFor() + SECOND);
-        typicalSetUpTime = state.relayStatistics().typicalSetUpTime();
-        typicalLoad = state.relayStatistics().typicalLoad();
-        loadReportCount = state.relayStatistics().loadReportCount();
-        setUpInterval = Math.min(state.relayStatistics().setUpInterval(), relayCount * SECOND / 8);
+        observedSince =
+                Math.min(observedSince, now - learnedState.relayStatistics().observedFor());
+        restoredCompletionRate =
+                completedConnections / (learnedState.relayStatistics().observedFor() + SECOND);
+        typicalSetUpTime = learnedState.relayStatistics().typicalSetUpTime();
+        typicalLoad = learnedState.relayStatistics().typicalLoad();
+        loadReportCount = learnedState.relayStatistics().loadReportCount();
+        setUpInterval = Math.min(learnedState.relayStatistics().setUpInterval(), relayCount * SECOND / MIN_SET_UP_RATE);
         nextSetUpAt = setUpInterval > 0 ? now + random.nextLong(setUpInterval) : 0;
-        for (LearnedState.BackendStatistics statistics : state.backends()) {
+        for (LearnedState.BackendStatistics statistics : learnedState.backends()) {
             Backend backend = backendsById.get(statistics.backend());
             if (backend != null && backend.restore(statistics)) {
                 slowBackends.add(backend);
@@ -321,23 +449,28 @@
             }
         }
         hasWidespreadSetUpFailures = detectWidespreadSetUpFailures(now);
-        for (LearnedState.Pin pin : state.pins()) {
+        for (LearnedState.Pin pin : learnedState.pins()) {
             Backend backend = backendsById.get(pin.backend());
-            // A pin to a backend that is no longer listed would take effect as soon as its id is listed again.
-            boolean listed = backend != null && backend.stage != Stage.GONE;
-            if (listed && state.tableFormat() == tableFormat() && trackingTable.size() < MAX_TRACKING_ENTRIES) {
+            // A pin to a backend that is no longer listed would take effect as soon as its id is listed again. Pins
+            // from another table format are dropped, as the table assigns their keys to other backends.
+            boolean isListed = backend != null && backend.stage != Stage.GONE;
+            if (isListed
+                    && learnedState.tableFormat() == tableFormat()
+                    && trackingTable.size() < MAX_TRACKING_ENTRIES) {
                 TrackingEntry entry = trackingTable.computeIfAbsent(pin.key(), TrackingEntry::new);
                 entry.pinnedBackend = backend;
                 entry.unusedSince = pin.unusedSince();
             }
         }
-        staleRosterSince = startTimesUnknown ? now : 0;
-        slowStartsEndAt = startTimesUnknown
+        // With a stale roster, every backend is in slow start from now on.
+        staleRosterSince = isRosterStale ? now : 0;
+        slowStartsEndAt = isRosterStale
                 ? Math.max(slowStartsEndAt, now + slowStartDuration + slowStartDuration / 64)
                 : slowStartsEndAt;
         recomputeTotals(now);
     }
 
+    /** Returns a value that identifies the lookup table's layout; pins are only valid with an equal one. */
     private long tableFormat() {
         return Backend.mix64(LOOKUP_TABLE_SIZE * 2 + (usesRosterWeights ? 1 : 0));
     }
@@ -347,13 +480,14 @@
         if (dispatch >= association.dispatchCount || association.established) {
             return;
         }
-        Backend backend = backendsById.get(association.sentTo[dispatch]).decayEvidence(now, EVIDENCE_HALF_LIFE);
+        Backend backend = backendsById.get(association.sentTo[dispatch]).decayEvidence(now, Backend.EVIDENCE_HALF_LIFE);
         backend.successes++;
         backend.setUpFailuresWhileMissing = 0;
         changeTracker.markChanged(backend);
         recentlyTriedBackends.add(backend);
         hasWidespreadSetUpFailures = hasWidespreadSetUpFailures && detectWidespreadSetUpFailures(now);
-        setUpInterval = setUpInterval < relayCount * 12 * MILLISECOND ? 0 : setUpInterval / 2;
+        // Each success halves the interval of paced set-ups; below the shortest one, pacing ends.
+        setUpInterval = setUpInterval < relayCount * MIN_SET_UP_INTERVAL_MILLIS * MILLISECOND ? 0 : setUpInterval / 2;
         typicalSetUpTime += (setUpTime - typicalSetUpTime) / 8;
         addConnection(association, backend);
     }
@@ -365,64 +499,77 @@
         if (association.openConnectionIndex >= 0) {
             Backend backend = backendsById.get(association.sentTo[association.dispatchCount - 1]);
             addToTotals(backend, 0, increase);
+            // A plain average over the first 64 reports, then an exponential moving average.
             typicalLoad += (meanConnectionLoad() - typicalLoad) / Math.min(64, ++loadReportCount);
-            if (increase > 0 && now - backend.lastOffloadAt > SECOND && isOverloaded(backend, now)) {
+            if (increase > 0 && now - backend.lastOffloadAt > Backend.OFFLOAD_INTERVAL && isOverloaded(backend, now)) {
                 backend.lastOffloadAt = now;
-                requestMoves(backend, Math.max(1, backend.openConnections.size() / 6), now);
+                requestMoves(backend, Math.max(1, backend.openConnections.size() / Backend.OFFLOAD_ONE_IN), now);
             }
         }
     }
 
     /**
-     * True if the estimated load exceeds half of the backend's share of the tenants' quota and the fleet has room. Each
-     * other relay is assumed to hold the mean of this relay's load there and the proportional share. With delay
-     * unobserved, growing load would otherwise slow all connections of the backend unnoticed.
+     * True if the estimated load of the backend exceeds its share of half of the tenants' quota, while the load of the
+     * whole fleet is below 70 percent of that half, so that other backends have room. Without this, growing load would
+     * slow all connections of the backend unnoticed, because delay is unobserved; with delay reports it is always
+     * false.
+     *
+     * <p>Each other relay is assumed to hold the mean of this relay's load there and of the backend's proportional
+     * share of this relay's total. The first 32 load reports only establish the typical load.
      */
     private boolean isOverloaded(Backend backend, long now) {
-        double share = backend.weight * slowStartFactor(backend, now) / Math.max(rosterWeightSum, 1e-9),
-                quota = 0.5 * totalConnectionQuota * typicalLoad;
+        double fleetShare = backend.weight * slowStartFactor(backend, now) / Math.max(rosterWeightSum, 1e-9);
+        double loadQuota = 0.5 * totalConnectionQuota * typicalLoad;
         return isDelayUnobserved
                 && loadReportCount > 32
-                && totalLoad * relayCount < 0.7 * quota
-                && backend.load * (relayCount + 1) / 2 + totalLoad * share * (relayCount - 1) / 2 > quota * share;
+                && totalLoad * relayCount < 0.7 * loadQuota
+                && backend.load * (relayCount + 1) / 2 + totalLoad * fleetShare * (relayCount - 1) / 2
+                        > loadQuota * fleetShare;
     }
 
     @Override
     public void onDelayReport(long backendId, long delay, long now) {
         Backend backend = backendsById.computeIfAbsent(backendId, Backend::new);
-        boolean rising = delay >= backend.reportedDelay || now - backend.delayReportedAt > 3 * SECOND;
-        if (delay * 3 > shortestMessageGoal) {
+        boolean isRising =
+                delay >= backend.reportedDelay || now - backend.delayReportedAt > Backend.DELAY_REPORT_SECONDS * SECOND;
+        if (delay * Backend.GOAL_TO_SLOW_DELAY_RATIO > shortestMessageGoal) {
             double currentLoad = backend.effectiveLoad(meanConnectionLoad());
+            // Averages over the starts of slow periods. Within such a period the lowest load counts.
             backend.observedCapacity = !isSlow(backend, now) && backend.observedCapacity > 0
                     ? (backend.observedCapacity + currentLoad) / 2
                     : backend.observedCapacity == 0 ? currentLoad : Math.min(backend.observedCapacity, currentLoad);
             backend.lastSlowAt = now;
             slowBackends.add(backend);
         }
-        backend.reportedDelay = delay * 3 > shortestMessageGoal ? delay : 0;
+        backend.reportedDelay = delay * Backend.GOAL_TO_SLOW_DELAY_RATIO > shortestMessageGoal ? delay : 0;
         backend.delayReportedAt = now;
         changeTracker.markChanged(backend);
-        if (rising && delay > shortestMessageGoal) {
-            // A hung backend keeps its connections open. If the delay exceeds what any client waits, all must move.
+        if (isRising && delay > shortestMessageGoal) {
+            // A hung backend keeps its connections open. If the delay exceeds the time that any client waits, all of
+            // them must move. Otherwise a share of them moves, rounded at random to a whole number.
             boolean isHung = delay > (isDelayUnobserved ? SECOND : longestCutOff);
             requestMoves(
                     backend,
                     isHung
                             ? backend.openConnections.size()
-                            : (int) (backend.openConnections.size() / 6.0 + random.nextDouble()),
+                            : (int) (backend.openConnections.size() / (double) Backend.OFFLOAD_ONE_IN
+                                    + random.nextDouble()),
                     now);
         }
     }
 
-    /** Asks the {@code count} heaviest connections to move. Overload makes all connections of a backend slow. */
+    /**
+     * Asks the {@code count} heaviest connections of the backend to move, apart from those that were already asked.
+     * Overload makes all connections of a backend slow, so that some have to leave.
+     */
     private void requestMoves(Backend backend, int count, long now) {
         backend.openConnections.stream()
-                .filter(a -> !a.moveRequested)
-                .sorted(Comparator.comparing(a -> -a.load))
+                .filter(association -> !association.moveRequested)
+                .sorted(Comparator.comparing(association -> -association.load))
                 .limit(count)
-                .forEach(a -> {
-                    a.moveRequested = true;
-                    pendingActions.connectionsToMove.add(a);
+                .forEach(association -> {
+                    association.moveRequested = true;
+                    pendingActions.connectionsToMove.add(association);
                     logRateLimited("a backend is late, connections leave it", now);
                 });
     }
@@ -435,22 +582,34 @@
         }
     }
 
-    /** Returns the pinned backend or the first eligible one in the key's order; null if there is none. */
+    /**
+     * Returns the backend for the next dispatch: the pinned backend if it is eligible, else the first eligible one in
+     * the key's preference order that is not over capacity, else the first eligible one. Null if no backend is
+     * eligible.
+     *
+     * <p>A group's connections are limited to a number of backends that follows from the group's size. While more than
+     * a quarter of the backends are slow, a group's connection only goes to the first ready backends in the order or to
+     * an idle one.
+     */
     private Backend findEligibleBackend(Association association, long now) {
+        // Slow start factors change with time, and so do the sums over them.
         if (now < slowStartsEndAt && now - totalsUpdatedAt > slowStartDuration / 256) {
             recomputeTotals(now);
         }
-        // The slow share is taken of occupied or slow backends, plus two: new backends in a growing fleet aren't spare
-        // capacity yet, and in a large fleet most backends send this relay no reports, which doesn't make them fast.
+        // The share of slow backends is taken of the occupied and the slow ones, plus two. New backends in a growing
+        // fleet carry nothing yet and would look like spare capacity. In a large fleet most backends send this relay no
+        // reports, which doesn't make them fast.
         slowBackends.removeIf(b -> b.stage == Stage.GONE || !isSlow(b, now));
-        long unobservedSlow =
+        long slowWithoutConnections =
                 slowBackends.stream().filter(b -> b.openConnections.isEmpty()).count();
         double slowShare = slowBackends.size()
-                / Math.max(Math.min(effectiveBackendCount, occupiedBackends + unobservedSlow + 2), 1);
+                / Math.max(Math.min(effectiveBackendCount, occupiedBackends + slowWithoutConnections + 2), 1);
         TrackingEntry entry = trackingTable.get(association.placementKey());
-        // A group costs each backend that holds any of it. Spread over all backends, it would overload them all.
+        // A group costs each backend that holds any of its connections. A large group spread over all backends would
+        // overload all of them. The limit is about one or two backends more than the group fills; the smaller one
+        // counts while more than a third of the backends are slow.
         double subsetSize = association.groupKey == 0 ? tableMembers.length : subsetSize(entry, slowShare);
-        int maxSpread = slowShare * 3 > 1 ? 1 + (int) subsetSize : 2 + (int) Math.round(subsetSize);
+        int backendLimit = slowShare * 3 > 1 ? 1 + (int) subsetSize : 2 + (int) Math.round(subsetSize);
         int holderCount = 0;
         int holderMark = ++currentMark;
         for (Association other : entry == null ? List.<Association>of() : entry.openConnections) {
@@ -459,42 +618,45 @@
             backend.holdsKeyMark = holderMark;
         }
         startPreferenceOrder(association);
-        int subsetCount =
+        int subsetLength =
                 association.groupKey == 0 || !isSampleTooSmall() ? 1 : assignSubsetIndex(association, subsetSize, now);
         TrackingEntry pin = trackingTable.get(association.pinKey());
         Backend pinned = association.placementKey() == 0 || pin == null ? null : pin.pinnedBackend;
-        // An open connection is reset if it is sent elsewhere, so a mid-flow hit is not subject to load limits.
-        boolean alreadyOpen = association.isMidFlow && association.dispatchCount == 0;
+        // A connection that is already open at a backend is reset if it is sent elsewhere. Load limits and outlier
+        // detection therefore don't apply to a mid-flow association with a pin.
+        boolean isAlreadyOpen = association.isMidFlow && association.dispatchCount == 0;
         if (pinned != null
                 && pinned.stage == Stage.READY
                 && !association.hasTried(pinned.id)
                 && mayDispatch(pinned, association, true, now)
-                && (alreadyOpen || passesOutlierDetection(pinned, now) && !isOverCapacity(pinned, slowShare, now))) {
+                && (isAlreadyOpen || passesOutlierDetection(pinned, now) && !isOverCapacity(pinned, slowShare, now))) {
             return pinned;
         }
         Backend fallback = null;
-        boolean searchAll = slowShare * 4 <= 1
+        boolean searchesAllBackends = slowShare * 4 <= 1
                 || totalConnections > 3 * effectiveBackendCount
                 || totalConnections * 4 > relayCount * effectiveBackendCount;
-        for (int i = 0, readySeen = 0; i < tableMembers.length && (searchAll || readySeen <= maxSpread); i++) {
-            Backend backend = preferredBackend(i < subsetCount ? (association.subsetIndex + i) % subsetCount : i);
-            boolean likelyHolder = alreadyOpen && i == 0;
+        for (int i = 0, readySeen = 0;
+                i < tableMembers.length && (searchesAllBackends || readySeen <= backendLimit);
+                i++) {
+            Backend backend = preferredBackend(i < subsetLength ? (association.subsetIndex + i) % subsetLength : i);
+            boolean isLikelyHolder = isAlreadyOpen && i == 0;
             readySeen += backend != null && backend.stage == Stage.READY ? 1 : 0;
-            // More work would keep an entirely slow fleet slow, so then the association waits or is shed.
+            // More work would keep a fleet slow that is slow everywhere, so the association then waits or is shed.
             if (backend == null
-                    || !likelyHolder
+                    || !isLikelyHolder
                             && (backend.stage != Stage.READY
                                     || association.hasTried(backend.id)
                                     || isSlow(backend, now) && backend.reportedDelay > shortestMessageGoal
                                     || now < backend.overCapacityUntil
                                     || backend.effectiveLoad(meanConnectionLoad()) >= loadLimit(backend, now)
-                                    || holderCount >= maxSpread && backend.holdsKeyMark != holderMark
-                                    || slowShare * 4 > 1 && readySeen > maxSpread && !isIdle(backend, now)
+                                    || holderCount >= backendLimit && backend.holdsKeyMark != holderMark
+                                    || slowShare * 4 > 1 && readySeen > backendLimit && !isIdle(backend, now)
                                     || !passesOutlierDetection(backend, now))
                     || !mayDispatch(backend, association, i == 0, now)) {
                 continue;
             }
-            if (likelyHolder || !isOverCapacity(backend, slowShare, now)) {
+            if (isLikelyHolder || !isOverCapacity(backend, slowShare, now)) {
                 return backend;
             }
             fallback = fallback == null ? backend : fallback;
@@ -502,38 +664,56 @@
         return fallback;
     }
 
-    /** True if this relay has too few connections per backend to see from them that a group overloads one. */
+    /**
+     * True if this relay holds too few connections per backend to see from them that a group overloads one. The limit
+     * is half a connection per backend for each relay of the deployment.
+     */
     private boolean isSampleTooSmall() {
         return totalConnections * 2 <= relayCount * effectiveBackendCount;
     }
 
-    /** Number of backends, not rounded, that the group fills. A small sample assumes one more connection per group. */
+    /**
+     * Returns the number of backends, not rounded, that the group fills: the group's share of this relay's connections,
+     * times the number of backends. With a small sample, each group is assumed to have one more connection than seen.
+     *
+     * @param entry tracking entry of the group; null if it has none
+     * @param slowShare share of the backends that are slow, 0 to 1
+     */
     private double subsetSize(TrackingEntry entry, double slowShare) {
-        int observed = entry == null ? 0 : entry.openConnections.size();
-        // One of hundreds of relays holds few connections and may see no pair. It would take every group for a small
-        // one, and all relays would put it on one backend. Some unseen pairs are therefore assumed, except while many
-        // backends are slow or delay is unobserved, because each further backend that holds a group adds cost.
-        double unobserved = isDelayUnobserved || slowShare * 3 > 1 ? 0 : unobservedShare();
-        double pairs = totalConnections * (totalConnections + 1.0) / 2 + effectiveBackendCount * (0.25 + unobserved);
-        double groupCount = pairs / (sameKeyPairs + 0.25 + UNOBSERVED_PAIRS * unobserved);
+        int groupConnections = entry == null ? 0 : entry.openConnections.size();
+        // One of hundreds of relays holds few connections and may see no pair of one group. It would take every group
+        // for a small one, and all relays would put it on one backend. Some unseen pairs are therefore assumed. While
+        // more than a third of the backends are slow, or delay is unobserved, they are not, because each further
+        // backend that holds a group adds cost.
+        double assumedShare = isDelayUnobserved || slowShare * 3 > 1 ? 0 : unobservedShare();
+        double allPairs =
+                totalConnections * (totalConnections + 1.0) / 2 + effectiveBackendCount * (0.25 + assumedShare);
+        // The number of groups is estimated from the share of all pairs that have the same key. Both counts start at a
+        // fraction, which avoids a division by zero and gives an estimate before the first pair.
+        double groupCount = allPairs / (sameKeyPairs + 0.25 + UNOBSERVED_PAIRS * assumedShare);
         return isSampleTooSmall()
-                ? effectiveBackendCount * (1 + observed) / (totalConnections + groupCount)
-                : effectiveBackendCount * observed / totalConnections;
+                ? effectiveBackendCount * (1 + groupConnections) / (totalConnections + groupCount)
+                : effectiveBackendCount * groupConnections / totalConnections;
     }
 
-    /** Returns the share of same-group pairs that a relay can't see: near 0 with few relays, near 1 with a hundred. */
+    /** Returns the share of a group's pairs that one relay can't see: near 0 with few relays, near 1 with a hundred. */
     private double unobservedShare() {
         return (double) relayCount * relayCount / (relayCount * relayCount + PAIR_VISIBILITY_SCALE);
     }
 
-    private void startPreferenceOrder(Association a) {
+    /** Starts the walk of the lookup table at the slot of the association's key, or of its id if it has no key. */
+    private void startPreferenceOrder(Association association) {
         nextTableSlot = (int) Long.remainderUnsigned(
-                Backend.mix64(a.placementKey() != 0 ? a.placementKey() : a.id), LOOKUP_TABLE_SIZE);
+                Backend.mix64(association.placementKey() != 0 ? association.placementKey() : association.id),
+                LOOKUP_TABLE_SIZE);
         preferenceCount = 0;
         currentMark++;
     }
 
-    /** Returns the backend at this rank of the key's order, walking the table as needed; null past the end. */
+    /**
+     * Returns the backend at this rank of the order that {@link #startPreferenceOrder} began, walking the table as far
+     * as needed; null if the order is shorter.
+     */
     private Backend preferredBackend(int rank) {
         for (int end = nextTableSlot + LOOKUP_TABLE_SIZE;
                 preferenceCount <= rank && nextTableSlot < end && lookupTable.length > 0;
@@ -548,24 +728,32 @@
     }
 
     /**
-     * Sets the client's index in its group's subset and returns the subset's size. The subset is the start of the key's
-     * order, up to the group's capacity. Weighted rendezvous hashing picks the client's backend, alike at all relays. A
-     * reconnecting client gets a random one, since its own may be slow, unless delay is unobserved and nobody knows it.
+     * Sets the client's index in its group's subset, and returns the number of ranks of the preference order that the
+     * subset spans, at least 1. The subset is the start of the order up to the capacity that the group needs. Weighted
+     * rendezvous hashing picks the client's backend in it, alike at all relays.
+     *
+     * <p>A reconnecting client gets a random backend of the subset, since it may have left its own because that was
+     * slow. Where delay is unobserved nobody knows whether it was, and the client returns to its own backend.
      */
     private int assignSubsetIndex(Association association, double subsetSize, long now) {
-        double lowestScore = Double.MAX_VALUE, warm = 0;
+        double lowestScore = Double.MAX_VALUE;
+        double warmBackends = 0;
         int rank = 0;
         long clientHash = association.isReconnect && !association.isMidFlow && !isDelayUnobserved
                 ? random.nextLong()
                 : association.clientKey;
-        // A subset of cold backends alone would be overloaded by the clients of the group arriving at once.
-        for (double remaining = subsetSize; (remaining > 0.5 || warm < 1) && preferredBackend(rank) != null; rank++) {
+        // The subset has the capacity of at least one warm backend. A subset of cold backends alone would be overloaded
+        // by the clients of the group arriving at once.
+        for (double remainingCapacity = subsetSize;
+                (remainingCapacity > 0.5 || warmBackends < 1) && preferredBackend(rank) != null;
+                rank++) {
             Backend backend = preferredBackend(rank);
-            // If draining backends counted, their clients would go to the next ones in order, past the cold ones.
+            // Draining backends don't count. Their clients would otherwise be spread over the next backends in the
+            // order, without regard to which of these are cold.
             if (backend.stage == Stage.READY || association.isMidFlow) {
                 double score = rendezvousScore(clientHash, backend, now);
-                remaining -= relativeCapacity(backend, now);
-                warm += slowStartFactor(backend, now);
+                remainingCapacity -= relativeCapacity(backend, now);
+                warmBackends += slowStartFactor(backend, now);
                 association.subsetIndex = score < lowestScore ? rank : association.subsetIndex;
                 lowestScore = Math.min(lowestScore, score);
             }
@@ -573,19 +761,31 @@
         return Math.max(1, rank);
     }
 
-    /** Weighted rendezvous hashing: the lowest score wins, with a probability proportional to the capacity. */
-    private double rendezvousScore(long clientHash, Backend b, long now) {
-        return -StrictMath.log((Backend.mix64(clientHash ^ b.hash) >>> 11) * 0x1p-53) / relativeCapacity(b, now);
+    /**
+     * Returns the score of weighted rendezvous hashing. The backend with the lowest score is selected; each has a
+     * probability proportional to its capacity. StrictMath gives the same score at every relay.
+     */
+    private double rendezvousScore(long clientHash, Backend backend, long now) {
+        return -StrictMath.log((Backend.mix64(clientHash ^ backend.hash) >>> 11) * 0x1p-53)
+                / relativeCapacity(backend, now);
     }
 
-    /** Capacity relative to the mean; when cold, 1.25 times the slow start factor, which is the promised minimum. */
-    private double relativeCapacity(Backend b, long now) {
-        return b.weight * Math.min(1, 1.25 * slowStartFactor(b, now)) * effectiveBackendCount / effectiveWeightSum;
+    /**
+     * Returns the backend's capacity relative to the mean of the ready backends. A cold backend counts for 1.25 times
+     * its slow start factor, but at most as a warm one, since that factor is the least capacity that the settings
+     * promise.
+     */
+    private double relativeCapacity(Backend backend, long now) {
+        return backend.weight
+                * Math.min(1, 1.25 * slowStartFactor(backend, now))
+                * effectiveBackendCount
+                / effectiveWeightSum;
     }
 
     /**
-     * Moves some connections whose assigned backend has changed. Those placed while new backends were cold would
-     * otherwise stay on the few backends that took them, and nothing would show that they are slow there.
+     * Asks some connections to move whose assigned backend has changed. Connections that were placed while new backends
+     * were cold would otherwise stay on the few backends that took them, and nothing would show that they are slow
+     * there, because delay is unobserved. A pass examines a part of the backends and continues there a second later.
      */
     private void rebalance(DueActions due, long now) {
         nextRebalanceAt = now + SECOND;
@@ -594,54 +794,73 @@
             Backend backend = tableMembers[rebalanceIndex % tableMembers.length];
             rebalanceIndex = (rebalanceIndex + 1) % tableMembers.length;
             examined += backend.openConnections.size();
-            for (Association a : backend.stage == Stage.READY ? backend.openConnections : List.<Association>of()) {
-                if (a.groupKey != 0
-                        && !a.moveRequested
+            for (Association association :
+                    backend.stage == Stage.READY ? backend.openConnections : List.<Association>of()) {
+                if (association.groupKey != 0
+                        && !association.moveRequested
                         && random.nextInt(REBALANCE_ONE_IN) == 0
-                        && isMisplaced(a, backend, now)) {
-                    a.moveRequested = true;
-                    due.connectionsToMove.add(a);
+                        && isMisplaced(association, backend, now)) {
+                    association.moveRequested = true;
+                    due.connectionsToMove.add(association);
                 }
             }
         }
     }
 
-    private boolean isMisplaced(Association a, Backend b, long now) {
-        startPreferenceOrder(a);
-        int previousIndex = a.subsetIndex;
-        assignSubsetIndex(a, subsetSize(trackingTable.get(a.placementKey()), 0), now);
-        Backend assigned = preferredBackend(a.subsetIndex);
-        a.subsetIndex = previousIndex;
+    /** True if the client's assigned backend is ready and has a better score for the client than its current one. */
+    private boolean isMisplaced(Association association, Backend backend, long now) {
+        startPreferenceOrder(association);
+        int previousIndex = association.subsetIndex;
+        assignSubsetIndex(association, subsetSize(trackingTable.get(association.placementKey()), 0), now);
+        Backend assigned = preferredBackend(association.subsetIndex);
+        association.subsetIndex = previousIndex;
         return assigned != null
                 && assigned.stage == Stage.READY
-                && rendezvousScore(a.clientKey, assigned, now) < rendezvousScore(a.clientKey, b, now);
+                && rendezvousScore(association.clientKey, assigned, now)
+                        < rendezvousScore(association.clientKey, backend, now);
     }
 
-    /** True if full, slow, just offloaded, at its load limit, or over twice (1.25 if many are slow) its fair share. */
-    private boolean isOverCapacity(Backend b, double slowShare, long now) {
-        double unit = meanConnectionLoad() == 0 ? 1 : meanConnectionLoad(); // one connection
-        double fair = totalConnections * unit * b.weight * slowStartFactor(b, now) / Math.max(effectiveWeightSum, 1e-9);
-        double bound = Math.max(1.25, 2 - 2 * slowShare); // factor, and margin in connections
-        double current = b.effectiveLoad(meanConnectionLoad());
-        return now < b.overCapacityUntil
-                || isSlow(b, now)
-                || now - b.lastOffloadAt < 5 * SECOND
-                || current >= loadLimit(b, now)
-                || current > bound * fair && current >= fair + bound * unit;
+    /**
+     * True if the backend should get no connection while others are eligible: it recently refused a dispatch, is slow,
+     * was just offloaded, is at its load limit, or holds clearly more than its fair share.
+     *
+     * <p>A backend holds clearly more than its fair share if it exceeds it by a factor of 2 and by two connections. As
+     * more backends are slow, both limits fall to 1.25.
+     */
+    private boolean isOverCapacity(Backend backend, double slowShare, long now) {
+        double connectionLoad = meanConnectionLoad() == 0 ? 1 : meanConnectionLoad();
+        double fairLoad = totalConnections
+                * connectionLoad
+                * backend.weight
+                * slowStartFactor(backend, now)
+                / Math.max(effectiveWeightSum, 1e-9);
+        double maxMultiple = Math.max(1.25, 2 - 2 * slowShare);
+        double currentLoad = backend.effectiveLoad(meanConnectionLoad());
+        return now < backend.overCapacityUntil
+                || isSlow(backend, now)
+                || now - backend.lastOffloadAt < Backend.OFFLOAD_RECOVERY
+                || currentLoad >= loadLimit(backend, now)
+                || currentLoad > maxMultiple * fairLoad && currentLoad >= fairLoad + maxMultiple * connectionLoad;
     }
 
-    /** Load at which it was last slow, relaxed with time. It limits bursts that come before the first delay report. */
-    private double loadLimit(Backend b, long now) {
-        double elapsed = (double) (now - b.lastSlowAt) / (10 * SECOND);
-        return b.observedCapacity == 0 ? Double.MAX_VALUE : b.observedCapacity * (1 + elapsed / 2 + elapsed * elapsed);
+    /**
+     * Returns the load at which the backend turned slow, relaxed with the time since it was last slow; a very large
+     * value if it never was. A burst fills a backend before the first report of delay arrives, so this limits it in
+     * advance.
+     */
+    private double loadLimit(Backend backend, long now) {
+        double periods = (double) (now - backend.lastSlowAt) / Backend.LOAD_LIMIT_RELAXATION;
+        return backend.observedCapacity == 0
+                ? Double.MAX_VALUE
+                : backend.observedCapacity * (1 + periods / 2 + periods * periods);
     }
 
-    /** Returns the mean load of one connection, or 0 if no load is reported. */
+    /** Returns the mean load of one connection in nanoseconds of work per second, or 0 if no load is reported. */
     private double meanConnectionLoad() {
         return totalLoad > 0 && totalConnections > 0 ? totalLoad / totalConnections : 0;
     }
 
-    /** Recomputes the sums over the ready backends. In between, addToTotals updates load and connections. */
+    /** Recomputes the sums over the ready backends. In between, {@link #addToTotals} updates loads and connections. */
     private void recomputeTotals(long now) {
         effectiveWeightSum = rosterWeightSum = effectiveBackendCount = totalLoad = totalConnections = readyBackends = 0;
         totalsUpdatedAt = now;
@@ -657,73 +876,100 @@
         }
     }
 
-    private void addToTotals(Backend backend, int connectionDelta, double loadDelta) {
-        backend.load += loadDelta;
+    /** Adds to the backend's load, and to the total connections and load if the backend is ready. */
+    private void addToTotals(Backend backend, int connectionChange, double loadChange) {
+        backend.load += loadChange;
         if (backend.stage == Stage.READY) {
-            totalConnections += connectionDelta;
-            totalLoad += loadDelta;
+            totalConnections += connectionChange;
+            totalLoad += loadChange;
         }
     }
 
-    /** True if more than half of the recently tried backends, and at least three, fail set-ups. */
+    /**
+     * True if more than half of the recently tried backends, and at least three, fail set-ups. Drops backends whose
+     * evidence has decayed.
+     */
     private boolean detectWidespreadSetUpFailures(long now) {
-        long failing = recentlyTriedBackends.stream()
-                .filter(b -> b.decayEvidence(now, EVIDENCE_HALF_LIFE).sharedCauseFailures >= 0.25)
+        long failingBackends = recentlyTriedBackends.stream()
+                .filter(b ->
+                        b.decayEvidence(now, Backend.EVIDENCE_HALF_LIFE).sharedCauseFailures >= Backend.MIN_EVIDENCE)
                 .count();
-        recentlyTriedBackends.removeIf(b -> b.sharedCauseFailures + b.successes < 0.25 || b.stage == Stage.GONE);
-        return failing * 2 > recentlyTriedBackends.size() && failing > 2;
+        recentlyTriedBackends.removeIf(
+                b -> b.sharedCauseFailures + b.successes < Backend.MIN_EVIDENCE || b.stage == Stage.GONE);
+        return failingBackends * 2 > recentlyTriedBackends.size() && failingBackends > 2;
     }
 
-    /** True after a recent report of delay. Without open connections no report can follow, so it is valid longer. */
+    /**
+     * True after a recent report of delay. Without open connections here no report can follow, so the last one stays
+     * valid longer: 6 s times the number of backends per connection of this relay, within limits.
+     */
     private boolean isSlow(Backend backend, long now) {
         double retentionSeconds = backend.openConnections.isEmpty()
-                ? Math.max(3, Math.min(30, 6 * effectiveBackendCount / Math.max(totalConnections, 1)))
-                : 3;
+                ? Math.max(
+                        Backend.DELAY_REPORT_SECONDS,
+                        Math.min(
+                                Backend.MAX_DELAY_REPORT_SECONDS,
+                                6 * effectiveBackendCount / Math.max(totalConnections, 1)))
+                : Backend.DELAY_REPORT_SECONDS;
         return backend.reportedDelay > 0 && now - backend.delayReportedAt < retentionSeconds * SECOND;
     }
 
-    /** True if the backend has no connection although this relay has many, or has had none for long. */
+    /**
+     * True if the backend has no connection of this relay although the relay has many (over 3 per backend), or has had
+     * none for a while although the relay has some (over a quarter per backend for each relay of the deployment).
+     */
     private boolean isIdle(Backend backend, long now) {
         return backend.connectionCount() == 0
                 && (totalConnections > 3 * effectiveBackendCount
                         || totalConnections * 4 > relayCount * effectiveBackendCount
-                                && now - backend.lastActiveAt > 5 * SECOND);
+                                && now - backend.lastActiveAt > Backend.IDLE_AFTER);
     }
 
-    /** Returns the factor on a backend's weight: rises linearly from the initial factor to 1 with its age. */
+    /** Returns the factor on a backend's weight: it rises linearly with its age, from the initial factor to 1. */
     private double slowStartFactor(Backend backend, long now) {
-        long start = slowStartBeganAt(backend);
-        return start == 0 || now - start >= slowStartDuration
+        long beganAt = slowStartBeganAt(backend);
+        return beganAt == 0 || now - beganAt >= slowStartDuration
                 ? 1
-                : slowStartInitialFactor + (1 - slowStartInitialFactor) * Math.max(0, now - start) / slowStartDuration;
+                : slowStartInitialFactor
+                        + (1 - slowStartInitialFactor) * Math.max(0, now - beganAt) / slowStartDuration;
     }
 
-    /** With a stale roster every backend counts as cold, since relays would overload those that just started. */
+    /**
+     * Returns when the backend's slow start began; 0 if it is warm since long ago or its age is unknown. With a stale
+     * roster every backend counts as cold, because it may have just started and relays would overload it.
+     */
     private long slowStartBeganAt(Backend backend) {
         return Math.max(backend.startedAt, staleRosterSince);
     }
 
-    /** Samples the success probability (beta posterior, normal approximation); true if it is at least one half. */
+    /**
+     * Draws the backend's chance of a successful set-up from its posterior distribution (beta distribution with one
+     * success added, in normal approximation). True if the drawn chance is at least one half, or if the backend has
+     * next to no failures. A doubtful backend thus still gets some dispatches, which show whether it has recovered.
+     */
     private boolean passesOutlierDetection(Backend backend, long now) {
-        // A slow shared store fails set-ups at all backends. Counting it against each would exclude them all.
-        double failures = backend.decayEvidence(now, EVIDENCE_HALF_LIFE).failures
+        // A slow store that all backends share fails set-ups at all of them. Counting these failures against each
+        // backend would exclude all backends.
+        double failures = backend.decayEvidence(now, Backend.EVIDENCE_HALF_LIFE).failures
                 - (hasWidespreadSetUpFailures ? backend.sharedCauseFailures : 0);
         double successes = 1 + backend.successes;
         double trials = successes + failures;
         double deviation = Math.sqrt(successes * failures / (trials * trials * (trials + 1)));
-        return failures < 0.25 || successes / trials + deviation * random.nextGaussian() >= 0.5;
+        return failures < Backend.MIN_EVIDENCE || successes / trials + deviation * random.nextGaussian() >= 0.5;
     }
 
+    /** Updates the backend's evidence, and the set-up pacing, after a dispatch has ended. */
     private void recordOutcome(Backend backend, DispatchOutcome outcome, boolean wasEstablished, long now) {
-        backend.decayEvidence(now, EVIDENCE_HALF_LIFE);
-        // A backend that is missing from the roster and really gone would fail dispatches again and again. Timeouts
-        // don't count during widespread failures, as a slow shared store would then remove all missing backends.
+        backend.decayEvidence(now, Backend.EVIDENCE_HALF_LIFE);
+        // Removes a backend that is missing from the roster once set-ups fail there too. If it is really gone, it would
+        // otherwise fail dispatches again and again. Timeouts don't count during widespread set-up failures, because a
+        // slow shared store would then remove all missing backends.
         boolean setUpFailed = outcome == DispatchOutcome.NOT_CONNECTED
                 || outcome == DispatchOutcome.TIMED_OUT && !hasWidespreadSetUpFailures;
         if (backend.missingFromRoster
                 && setUpFailed
                 && !wasEstablished
-                && ++backend.setUpFailuresWhileMissing >= MAX_FAILURES_WHILE_MISSING) {
+                && ++backend.setUpFailuresWhileMissing >= Backend.MAX_FAILURES_WHILE_MISSING) {
             applyRosterEntry(
                     backend,
                     new RosterEntry(backend.id, Stage.GONE, 0, backend.cell, backend.weight, backend.zone, 0),
@@ -732,14 +978,18 @@
             recomputeTotals(now);
         }
         switch (outcome) {
-            case FULL -> backend.overCapacityUntil = now + SECOND / 2;
+            case FULL -> backend.overCapacityUntil = now + Backend.OVER_CAPACITY_DURATION;
             case NOT_CONNECTED -> backend.failures++;
             case RESET -> {
                 backend.failures += wasEstablished ? 0.5 : 1;
-                long elapsed = now - backend.lastResetAt;
+                long sinceLastReset = now - backend.lastResetAt;
                 backend.lastResetAt = wasEstablished ? now : backend.lastResetAt;
-                // With delay unobserved, clients would return again and again to a backend that resets them.
-                if (isDelayUnobserved && wasEstablished && elapsed > SECOND / 10 && elapsed < 2 * SECOND) {
+                // With delay unobserved, clients would return again and again to a backend that resets them. Two resets
+                // in short succession therefore count as a report of delay.
+                if (isDelayUnobserved
+                        && wasEstablished
+                        && sinceLastReset > Backend.MIN_RESET_GAP
+                        && sinceLastReset < Backend.MAX_RESET_GAP) {
                     onDelayReport(backend.id, shortestMessageGoal, now);
                 }
             }
@@ -748,11 +998,13 @@
                 backend.sharedCauseFailures++;
                 recentlyTriedBackends.add(backend);
                 hasWidespreadSetUpFailures = detectWidespreadSetUpFailures(now);
-                // Retries of all relays would keep a shared store overloaded. Set-ups are spaced until some succeed.
+                // The retries of all relays would keep an overloaded shared store overloaded. Set-ups are therefore
+                // spaced until some succeed, and the interval doubles with each failure, up to a limit.
                 if (hasWidespreadSetUpFailures) {
                     logRateLimited("set-ups fail all over, spacing them", now);
                     setUpInterval = Math.min(
-                            relayCount * SECOND / 8, Math.max(2 * setUpInterval, relayCount * 12 * MILLISECOND));
+                            relayCount * SECOND / MIN_SET_UP_RATE,
+                            Math.max(2 * setUpInterval, relayCount * MIN_SET_UP_INTERVAL_MILLIS * MILLISECOND));
                     nextSetUpAt = Math.max(nextSetUpAt, now + setUpInterval / 2 + random.nextLong(setUpInterval));
                 }
             }
@@ -762,31 +1014,44 @@
     }
 
     // ---- dispatching, its preconditions, and giving up
-    /** Rule 2, no effect twice: true if a dispatch is safe at the backend, or with null at some backend. */
+
+    /**
+     * Rule 2, no effect twice: true if the association's earlier dispatches allow another one at the backend.
+     *
+     * @param backend backend of the next dispatch; null to leave out the deduplication scope, so that the result tells
+     *     whether some backend may qualify
+     */
     private boolean isSafeToRepeat(Association association, Backend backend, long now) {
         UseCase useCase = useCases[association.useCase];
-        for (int d = 0; d < association.dispatchCount; d++) {
-            Backend earlier = backendsById.get(association.sentTo[d]);
-            boolean outsideScope = backend != null
-                    && (useCase.scope() == DeduplicationScope.ZONE && earlier.zone != backend.zone
-                            || useCase.scope() == DeduplicationScope.CELL && earlier.cell != backend.cell);
-            boolean undetected = outsideScope || now - association.sentAt[d] >= useCase.deduplicationWindow();
-            if (association.dispatchStates[d] != DispatchState.NEVER_RAN
-                    && (useCase.effect() == Effect.BINDING || useCase.effect() == Effect.FINGERPRINTED && undetected)) {
+        for (int dispatch = 0; dispatch < association.dispatchCount; dispatch++) {
+            Backend earlier = backendsById.get(association.sentTo[dispatch]);
+            boolean isOutsideScope = backend != null
+                    && (useCase.scope() == UseCase.DeduplicationScope.ZONE && earlier.zone != backend.zone
+                            || useCase.scope() == UseCase.DeduplicationScope.CELL && earlier.cell != backend.cell);
+            boolean isUndetected =
+                    isOutsideScope || now - association.sentAt[dispatch] >= useCase.deduplicationWindow();
+            if (association.dispatchStates[dispatch] != Association.DispatchState.NEVER_RAN
+                    && (useCase.effect() == UseCase.Effect.BINDING
+                            || useCase.effect() == UseCase.Effect.FINGERPRINTED && isUndetected)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Checks rules 2 (no effect twice), 3 (drain grace) and 4 (slow start). Every dispatch must pass it. */
+    /**
+     * Checks rules 2 (no effect twice), 3 (drain grace period) and 4 (slow start). Every dispatch must pass it. Refills
+     * the slow start budget of a cold backend, but takes nothing from it.
+     *
+     * @param isAssigned true if the backend is the client's pinned or assigned one, which may exceed the budget
+     */
     private boolean mayDispatch(Backend backend, Association association, boolean isAssigned, long now) {
         if (association.closed
                 || association.hasDispatchInFlight() && !allowsConcurrentDispatches
                 || !isSafeToRepeat(association, backend, now)) {
             return false;
         }
-        // Rule 3: no new dispatch past the grace period; the relay stops at half of it.
+        // Rule 3: no new dispatch after the grace period. The relay stops at half of it; the rest is a margin.
         if (backend.stage != Stage.READY && now - backend.drainNoticedAt >= drainGracePeriod / 2) {
             return false;
         }
@@ -794,7 +1059,8 @@
         if (slowStartFactor(backend, now) < 1) {
             double rate = slowStartRate(backend, now);
             if (backend.slowStartBudgetUpdatedAt < slowStartBeganAt(backend)) {
-                // A random initial budget. Relays that start together would otherwise all dispatch at the same time.
+                // A random initial budget. Relays that start together would otherwise all send their first dispatch at
+                // the same time.
                 double initialBudget = staleRosterSince > 0 ? 1 : isSampleTooSmall() ? unobservedShare() : 0;
                 backend.slowStartBudget = initialBudget > 0 ? random.nextDouble() * initialBudget : 0;
                 backend.slowStartBudgetUpdatedAt = Math.max(slowStartBeganAt(backend), now - slowStartBudgetWindow);
@@ -803,10 +1069,11 @@
                     Math.max(1, rate * slowStartBudgetWindow),
                     backend.slowStartBudget + rate * (now - backend.slowStartBudgetUpdatedAt));
             backend.slowStartBudgetUpdatedAt = now;
-            // With a hundred relays none earns a whole dispatch in time, and new backends would get nothing. A client's
-            // assigned backend may exceed the budget, since assignment follows the slow start factor and the sum stays
-            // in proportion. The smaller the warm share of the fleet, the smaller the excess. A mid-flow connection
-            // needs no budget of its own, since it is probably open there already.
+            // With a hundred relays none earns the budget of a whole dispatch in time, and new backends would get
+            // nothing. The client's assigned backend may therefore exceed the budget by up to one dispatch. Assignment
+            // follows the slow start factor, so the sum over all relays stays in proportion. While the mean slow start
+            // factor of the ready backends is below one half, the excess is smaller, in proportion to its square. A
+            // mid-flow connection may exceed the budget by one dispatch more, since it is probably open there already.
             double maxOverdraft = unobservedShare()
                     * Math.min(
                             1,
@@ -814,21 +1081,26 @@
                                     * effectiveBackendCount
                                     * effectiveBackendCount
                                     / Math.max(readyBackends * readyBackends, 1));
-            int required = association.isMidFlow && association.dispatchCount == 0 ? 0 : 1;
+            int requiredBudget = association.isMidFlow && association.dispatchCount == 0 ? 0 : 1;
             return backend.slowStartBudget >= 1
-                    || isAssigned && isSampleTooSmall() && backend.slowStartBudget > required - maxOverdraft;
+                    || isAssigned && isSampleTooSmall() && backend.slowStartBudget > requiredBudget - maxOverdraft;
         }
         return true;
     }
 
-    /** Returns this relay's share of the dispatches per nanosecond that a backend of this weight and age may get. */
+    /**
+     * Returns the rate at which the slow start budget grows: this relay's share, in dispatches per nanosecond, of what
+     * a backend of this weight and age may get.
+     */
     private double slowStartRate(Backend backend, long now) {
         decayCompletedConnections(now);
-        // Based on completed connections. In a reset storm dispatches repeat and would inflate the budget.
-        double observedTime = Math.min(now - observedSince, 10 * SECOND) + SECOND;
-        // While few backends are slow, a warm backend can sustain a multiple of what it is seen to do.
+        // The rate is based on completed connections. In a storm of resets, dispatches are repeated many times and
+        // would inflate the budget. The added second keeps the rate low while little time was observed.
+        double observedTime = Math.min(now - observedSince, COMPLETION_RATE_WINDOW) + SECOND;
+        // While few backends are slow, a warm backend can sustain a multiple of the rate that is observed.
         int headroom = !isDelayReported || slowBackends.size() * 8 > tableMembers.length ? 1 : 4;
-        // With a stale roster all backends count as cold. Dividing by effective weights would cancel the factor.
+        // With a stale roster all backends count as cold. Dividing by the sum of effective weights would then cancel
+        // the slow start factor.
         double rate = slowStartBudgetMultiple
                 * slowStartFactor(backend, now)
                 * headroom
@@ -837,28 +1109,36 @@
                         : completedConnections / observedTime)
                 * backend.weight
                 / Math.max(staleRosterSince > 0 ? rosterWeightSum : effectiveWeightSum, 1e-9);
-        // Without learned state the rate would stay 0. Any backend can set up one connection per budget window.
+        // Without learned state the rate would stay 0 and the relay idle. Any backend can set up one connection per
+        // budget window.
         return staleRosterSince > 0
                 ? Math.max(rate, slowStartBudgetMultiple / relayCount / slowStartBudgetWindow)
                 : rate;
     }
 
+    /** Decays the count of completed connections up to now and returns it. */
     private double decayCompletedConnections(long now) {
-        completedConnections *= StrictMath.exp(-(double) (now - completedConnectionsUpdatedAt) / (10 * SECOND));
+        completedConnections *=
+                StrictMath.exp(-(double) (now - completedConnectionsUpdatedAt) / COMPLETION_RATE_WINDOW);
         completedConnectionsUpdatedAt = now;
         return completedConnections;
     }
 
+    /** Records a dispatch to the backend and returns the decision to send it. */
     private Decision dispatchTo(Association association, Backend backend, long now) {
         backend.slowStartBudget -= slowStartFactor(backend, now) < 1 ? 1 : 0;
         association.recordDispatch(backend.id, now);
         backend.lastActiveAt = now;
         backend.pendingDispatches++;
         addToTotals(backend, 1, 0);
-        return new Decision(Kind.SEND, backend.id, dispatchTimeout(association, now));
+        return new Decision(Decision.Kind.SEND, backend.id, dispatchTimeout(association, now));
     }
 
-    /** Returns the timeout of the next dispatch. Unless it is the last, it leaves time for another before the goal. */
+    /**
+     * Returns the timeout of the dispatch just recorded, in nanoseconds. It leaves time for another dispatch before the
+     * goal time, but is at least four times the typical set-up time. The last dispatch, and each one while set-ups are
+     * paced, gets the time until the cut-off.
+     */
     private long dispatchTimeout(Association association, long now) {
         long typicalTimeout = Math.max(useCases[association.useCase].goalTime() / 2, (long) (4 * typicalSetUpTime));
         boolean isLast =
@@ -866,32 +1146,40 @@
         return isLast ? association.cutOffAt - now : Math.min(association.cutOffAt - now, typicalTimeout);
     }
 
-    /** Waits with exponential backoff (50 ms to 1.6 s) if that ends before the goal time, else gives up. */
+    /** Waits with exponential backoff (50 ms to 1.6 s) if the wait ends before the goal time; otherwise gives up. */
     private Decision waitOrGiveUp(Association association, long now) {
         long retryAt = now + (50 * MILLISECOND << Math.min(association.waitCount++, 5));
         UseCase useCase = useCases[association.useCase];
         return retryAt < association.cutOffAt - useCase.cutOff() + useCase.goalTime()
-                ? new Decision(Kind.WAIT, 0, retryAt)
+                ? new Decision(Decision.Kind.WAIT, 0, retryAt)
                 : shedOrForfeit(association);
     }
 
-    /** Rule 1, one final answer: closes the association; shed if no dispatch can have had an effect, else forfeited. */
+    /**
+     * Rule 1, one final answer: closes the association. It is shed if the client may safely repeat it, because no
+     * dispatch ran or repeats have no further effect; otherwise it is forfeited.
+     */
     private Decision shedOrForfeit(Association association) {
         association.closed = true;
         UseCase useCase = useCases[association.useCase];
-        boolean mayShed = useCase.effect() == Effect.RETRIABLE
-                || useCase.scope() == DeduplicationScope.ALL
+        boolean mayShed = useCase.effect() == UseCase.Effect.RETRIABLE
+                || useCase.scope() == UseCase.DeduplicationScope.ALL
                 || association.noDispatchRan();
-        return mayShed ? new Decision(Kind.SHED, 0, shedRetryAfter) : Decision.FORFEIT;
+        return mayShed ? new Decision(Decision.Kind.SHED, 0, shedRetryAfter) : Decision.FORFEIT;
     }
 
-    /** Queues a log message, at most one in five seconds. */
+    /** Queues a log message for the next poll; drops it if the last one is less than {@link #LOG_INTERVAL} ago. */
     private void logRateLimited(String message, long now) {
-        if (now - lastLoggedAt >= 5 * SECOND && pendingActions.logMessages.add(message)) {
+        if (now - lastLoggedAt >= LOG_INTERVAL && pendingActions.logMessages.add(message)) {
             lastLoggedAt = now;
         }
     }
 
+    /**
+     * Records that the association's pending dispatch is established: updates the totals and pins the key to the
+     * backend. Each further index of a group's subset has its own pin. A full tracking table evicts its least recently
+     * used entry.
+     */
     private void addConnection(Association association, Backend backend) {
         association.established = true;
         backend.pendingDispatches--;
@@ -915,6 +1203,7 @@
         }
     }
 
+    /** Removes the association's connection or pending dispatch from the backend, the totals and the tracking entry. */
     private void removeConnection(Association association, Backend backend, long now) {
         backend.lastActiveAt = now;
         if (!association.established) {
@@ -933,18 +1222,22 @@
         }
     }
 
-    /** Applies one roster entry; true if the lookup table must be rebuilt. */
+    /** Applies one roster entry. Returns true if the lookup table must be rebuilt. */
     private boolean applyRosterEntry(Backend backend, RosterEntry entry, long now) {
-        // A faulty roster may omit running backends, so removal needs failed set-ups too. Else few would be left.
-        boolean removed = backend.stage == Stage.READY && entry.stage() == Stage.GONE;
-        if (removalNeedsConfirmation && removed && backend.setUpFailuresWhileMissing < MAX_FAILURES_WHILE_MISSING) {
+        // A faulty roster may call running backends gone. If that alone counted, few or no backends would be left, so
+        // removal may also need failed set-ups.
+        boolean isRemoved = backend.stage == Stage.READY && entry.stage() == Stage.GONE;
+        if (removalNeedsConfirmation
+                && isRemoved
+                && backend.setUpFailuresWhileMissing < Backend.MAX_FAILURES_WHILE_MISSING) {
             backend.missingFromRoster = true;
             return false;
         }
         backend.missingFromRoster = false;
         backend.setUpFailuresWhileMissing = 0;
         double weight = usesRosterWeights && entry.weight() > 0 ? entry.weight() : 1;
-        boolean changed = backend.weight != weight || (backend.stage == Stage.GONE) != (entry.stage() == Stage.GONE);
+        boolean isTableChanged =
+                backend.weight != weight || (backend.stage == Stage.GONE) != (entry.stage() == Stage.GONE);
         if (entry.stage() != Stage.READY && (backend.stage == Stage.READY || backend.drainNoticedAt == 0)) {
             backend.drainNoticedAt = now;
             changeTracker.markChanged(backend);
@@ -960,27 +1253,32 @@
         backend.weight = weight;
         backend.cell = entry.cell();
         backend.zone = entry.zone();
+        // The margin exceeds the interval between recomputations, so that one takes place after the end.
         slowStartsEndAt = Math.max(
                 slowStartsEndAt,
                 backend.startedAt == 0
                         ? slowStartsEndAt
                         : backend.startedAt + slowStartDuration + slowStartDuration / 64);
-        return changed;
+        return isTableChanged;
     }
 
-    /** Maglev: members, sorted by id, take slots in weighted turns; each walks from its own offset by its own skip. */
+    /**
+     * Fills the lookup table by Maglev hashing. The members take turns in the order of their ids, a member of lower
+     * weight fewer of them. In its turn a member takes the next free slot of its own sequence, which starts at its own
+     * offset and advances by its own skip.
+     */
     private void fillLookupTable() {
         preferenceOrder = new Backend[tableMembers.length];
         lookupTable = new Backend[tableMembers.length == 0 ? 0 : LOOKUP_TABLE_SIZE];
-        int count = tableMembers.length;
-        int[] nextSlot = new int[count];
-        double[] credit = new double[count];
+        int memberCount = tableMembers.length;
+        int[] nextSlot = new int[memberCount];
+        double[] credit = new double[memberCount];
         double maxWeight =
                 Arrays.stream(tableMembers).mapToDouble(b -> b.weight).max().orElse(0);
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < memberCount; i++) {
             nextSlot[i] = (int) Long.remainderUnsigned(tableMembers[i].hash, LOOKUP_TABLE_SIZE);
         }
-        for (int filled = 0, i = 0; count > 0 && filled < LOOKUP_TABLE_SIZE; i = (i + 1) % count) {
+        for (int filled = 0, i = 0; memberCount > 0 && filled < LOOKUP_TABLE_SIZE; i = (i + 1) % memberCount) {
             credit[i] += tableMembers[i].weight / maxWeight;
             if (credit[i] < 1) {
                 continue;
