--- a/lab/src/main/java/ambertrestle/lab/simulation/DeliveredRoster.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/DeliveredRoster.java
@@ -8,46 +8,52 @@
 import java.util.TreeMap;
 
 /**
- * What one relay was told of the roster, as its witness keeps it: the list it has, and since when each backend is to
- * get nothing.
+ * The roster as delivered to one relay, recorded by the testbed: the entries that the relay knows, and since when each
+ * backend has been known to it as draining or gone.
  */
 public final class DeliveredRoster {
-    private final TreeMap<String, RosterMessage.Entry> lines = new TreeMap<>();
+    private final TreeMap<String, RosterMessage.Entry> entries = new TreeMap<>();
+    /** When the relay was first notified that a backend is draining or gone; without backends that are ready. */
     private final TreeMap<String, Long> drainNotifiedAt = new TreeMap<>();
-    private long index = -1;
+    /** Version of the last message; -1 before the first. */
+    private long version = -1;
 
+    /** Records a message delivered at {@code now}, in nanoseconds from the start of the run. */
     public void apply(RosterMessage message, long now) {
-        index = message.version();
+        version = message.version();
         if (message.isComplete()) {
-            Set<String> named = new HashSet<>();
-            message.entries().forEach(l -> named.add(l.name()));
-            lines.keySet().retainAll(named);
+            Set<String> listedNames = new HashSet<>();
+            message.entries().forEach(entry -> listedNames.add(entry.name()));
+            entries.keySet().retainAll(listedNames);
         }
-        for (RosterMessage.Entry line : message.entries()) {
-            if (line.stage() == Stage.READY) {
-                drainNotifiedAt.remove(line.name());
+        for (RosterMessage.Entry entry : message.entries()) {
+            if (entry.stage() == Stage.READY) {
+                drainNotifiedAt.remove(entry.name());
             } else {
-                drainNotifiedAt.putIfAbsent(line.name(), now);
+                drainNotifiedAt.putIfAbsent(entry.name(), now);
             }
-            if (line.stage() == Stage.GONE) {
-                lines.remove(line.name());
+            if (entry.stage() == Stage.GONE) {
+                entries.remove(entry.name());
             } else {
-                lines.put(line.name(), line);
+                entries.put(entry.name(), entry);
             }
         }
     }
 
-    /** It was told nothing yet. */
+    /** No message has been delivered yet. */
     public boolean isUninitialized() {
-        return index < 0;
+        return version < 0;
     }
 
-    /** The list as it stands, which a relay is started again with. */
+    /** The current entries as a complete roster, for the configuration of a relay that is started again. */
     public RosterMessage snapshot() {
-        return new RosterMessage(index, true, List.copyOf(lines.values()));
+        return new RosterMessage(version, true, List.copyOf(entries.values()));
     }
 
-    /** When it was told that the backend drains or is gone; -1 where it was not. */
+    /**
+     * When the relay was first notified that the backend is draining or gone, in nanoseconds from the start of the run;
+     * -1 if it was not, or if the backend has been ready again since.
+     */
     public long drainNotifiedAt(String backend) {
         return drainNotifiedAt.getOrDefault(backend, -1L);
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/EventQueue.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/EventQueue.java
@@ -3,14 +3,22 @@
 import java.util.Arrays;
 
 /**
- * What is to happen and when, in virtual time. Of one moment, what was set first comes first; nothing else orders it.
+ * Scheduler in virtual time: the clock jumps from one event to the next. Events are ordered by time, and events of the
+ * same time by the order in which they were scheduled, so runs are reproducible.
+ *
+ * <p>The events form a min-heap with four children per entry, stored in parallel arrays. Slot 0 is the next event; the
+ * children of slot {@code i} are the slots from {@code 4 * i + 1} to {@code 4 * i + 4}.
  */
 final class EventQueue implements Scheduler {
-    private long[] times = new long[1 << 12];
-    private long[] orders = new long[1 << 12];
-    private Runnable[] actions = new Runnable[1 << 12];
+    private static final int INITIAL_CAPACITY = 1 << 12;
+    /** Children per heap entry. */
+    private static final int CHILD_COUNT = 4;
+
+    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] sequenceNumbers = new long[INITIAL_CAPACITY];
+    private Runnable[] actions = new Runnable[INITIAL_CAPACITY];
     private int size;
-    private long nextOrder;
+    private long nextSequenceNumber;
     private long now;
     private long processedEvents;
 
@@ -19,80 +27,84 @@
         return now;
     }
 
-    /** How many things have happened. */
+    /** Number of events executed so far. */
     long processedEvents() {
         return processedEvents;
     }
 
     @Override
-    public void scheduleAt(long time, Runnable thing) {
+    public void scheduleAt(long time, Runnable action) {
         if (size == times.length) {
             times = Arrays.copyOf(times, size * 2);
-            orders = Arrays.copyOf(orders, size * 2);
+            sequenceNumbers = Arrays.copyOf(sequenceNumbers, size * 2);
             actions = Arrays.copyOf(actions, size * 2);
         }
-        int i = size++;
-        long when = Math.max(now, time);
-        long order = nextOrder++;
-        while (i > 0) {
-            int up = (i - 1) >> 2;
-            if (times[up] < when || times[up] == when && orders[up] < order) {
+        int slot = size++;
+        long dueAt = Math.max(now, time);
+        long sequenceNumber = nextSequenceNumber++;
+        while (slot > 0) {
+            int parent = (slot - 1) >> 2; // (slot - 1) / CHILD_COUNT
+            if (times[parent] < dueAt || times[parent] == dueAt && sequenceNumbers[parent] < sequenceNumber) {
                 break;
             }
-            move(up, i);
-            i = up;
+            moveEntry(parent, slot);
+            slot = parent;
         }
-        put(i, when, order, thing);
+        setEntry(slot, dueAt, sequenceNumber, action);
     }
 
-    /** Lets all happen that is due before `end`; false when there is nothing left. */
+    /** Executes all events due before {@code end} and sets the clock to it. Returns false if no events remain. */
     boolean runUntil(long end) {
         while (size > 0 && times[0] < end) {
             now = times[0];
-            Runnable thing = actions[0];
+            Runnable action = actions[0];
             removeFirst();
             processedEvents++;
-            thing.run();
+            action.run();
         }
         now = Math.max(now, end);
         return size > 0;
     }
 
+    /** Removes the event in slot 0: the last event takes its place and sinks to its position. */
     private void removeFirst() {
         int last = --size;
-        long when = times[last];
-        long order = orders[last];
-        Runnable thing = actions[last];
+        long time = times[last];
+        long sequenceNumber = sequenceNumbers[last];
+        Runnable action = actions[last];
         actions[last] = null;
         if (last == 0) {
             return;
         }
-        int i = 0;
-        for (int first = 1; first < last; first = 4 * i + 1) {
-            int least = first;
-            for (int c = first + 1; c < Math.min(first + 4, last); c++) {
-                if (times[c] < times[least] || times[c] == times[least] && orders[c] < orders[least]) {
-                    least = c;
+        int slot = 0;
+        for (int firstChild = 1; firstChild < last; firstChild = CHILD_COUNT * slot + 1) {
+            int earliestChild = firstChild;
+            for (int child = firstChild + 1; child < Math.min(firstChild + CHILD_COUNT, last); child++) {
+                if (times[child] < times[earliestChild]
+                        || times[child] == times[earliestChild]
+                                && sequenceNumbers[child] < sequenceNumbers[earliestChild]) {
+                    earliestChild = child;
                 }
             }
-            if (times[least] > when || times[least] == when && orders[least] > order) {
+            if (times[earliestChild] > time
+                    || times[earliestChild] == time && sequenceNumbers[earliestChild] > sequenceNumber) {
                 break;
             }
-            move(least, i);
-            i = least;
+            moveEntry(earliestChild, slot);
+            slot = earliestChild;
         }
-        put(i, when, order, thing);
+        setEntry(slot, time, sequenceNumber, action);
     }
 
-    private void move(int from, int to) {
+    private void moveEntry(int from, int to) {
         times[to] = times[from];
-        orders[to] = orders[from];
+        sequenceNumbers[to] = sequenceNumbers[from];
         actions[to] = actions[from];
     }
 
-    private void put(int i, long when, long order, Runnable thing) {
-        times[i] = when;
-        orders[i] = order;
-        actions[i] = thing;
+    private void setEntry(int slot, long time, long sequenceNumber, Runnable action) {
+        times[slot] = time;
+        sequenceNumbers[slot] = sequenceNumber;
+        actions[slot] = action;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
@@ -9,111 +9,144 @@
 import java.util.Map;
 
 /**
- * Judges the four rules from what crossed the world. It is told what clients, backends and the roster service saw,
- * never what a relay says of itself; it keeps the first breaches in words and counts all.
+ * Checks the guarantees of the relays. It relies only on what clients, backends and the roster service observe, never
+ * on what a relay reports about itself. It counts all violations and describes the first ones in text.
+ *
+ * <p>Times are in nanoseconds from the start of the run.
  */
 public final class InvariantChecker {
-    /** What a relay owes; the figures are the mission's rules. */
+    /** A guarantee that relays must keep. */
     public enum Invariant {
+        /**
+         * Each association gets one final answer (UP, BUSY or ERR) before its cut-off. An established connection isn't
+         * closed without MOVE or BYE while its backend still responds.
+         */
         EXACTLY_ONE_FINAL_ANSWER("an association had not exactly one final answer before its cut-off"),
+        /** No second final answer follows the first, and no line follows BUSY or ERR. */
         NOTHING_AFTER_FINAL_ANSWER("something followed a final answer"),
+        /**
+         * While an earlier dispatch may have run, a binding association isn't dispatched again, and a fingerprinted one
+         * only within its deduplication window and scope.
+         */
         NO_DUPLICATE_EFFECT("an effect may have run twice"),
+        /**
+         * BUSY isn't sent if a dispatch may have run, because the client then tries again; except where a repeated
+         * request does no harm.
+         */
         NO_SHED_IF_MAY_HAVE_RUN("shed though a dispatch may have run"),
+        /** An association has no more than one dispatch in flight. */
         NO_CONCURRENT_DISPATCHES("a second dispatch while one was out"),
+        /** A backend gets no dispatch from a relay that has known for longer than the drain grace that it drains. */
         NO_DISPATCH_TO_DRAINED_BACKEND("a dispatch to a drained backend after the grace"),
+        /** All relays together send a cold backend no more dispatches than the slow-start limit allows. */
         NO_OVERLOAD_IN_SLOW_START("a cold backend was pushed over"),
+        /** Only OPEN lines of regular clients reach a backend. */
         NO_INVALID_REQUEST_AT_BACKEND("what no usual client sent reached a backend");
 
+        /** Text in reports and key in summary.json. */
         public final String description;
 
-        Invariant(String says) {
-            this.description = says;
+        Invariant(String description) {
+            this.description = description;
         }
     }
 
     private static final int MAX_VIOLATION_MESSAGES = 20;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** A cold backend may always get this many dispatches per burst window, however slow it is. */
+    private static final double MIN_ALLOWED_DISPATCHES = 5;
     /**
-     * Relays are told a limit and the network adds to what they do; sockets get 50 ms more, the model its longest way.
+     * Added to each time limit, in nanoseconds. Relays keep the limits as they measure them, and the network delays
+     * what observers see. The loopback testbed allows 50 ms; the simulated testbed derives it from its longest latency.
      */
     private final long slack;
 
     private final Scenario scenario;
-    private final EnumMap<Invariant, Long> counts = new EnumMap<>(Invariant.class);
+    private final EnumMap<Invariant, Long> violationCounts = new EnumMap<>(Invariant.class);
     private final List<String> violationMessages = new ArrayList<>();
 
+    /** Creates a checker for one run; {@code slack}, in nanoseconds, is added to each time limit. */
     public InvariantChecker(Scenario scenario, long slack) {
         this.scenario = scenario;
         this.slack = slack;
-        Arrays.stream(Invariant.values()).forEach(r -> counts.put(r, 0L));
+        Arrays.stream(Invariant.values()).forEach(invariant -> violationCounts.put(invariant, 0L));
     }
 
-    /** One association as clients and backends see it. */
+    /** An association as clients and backends observe it. */
     public static final class ObservedAssociation {
         final long id;
         final Scenario.Workload useCase;
         final List<ObservedDispatch> dispatches = new ArrayList<>(1);
+        /** Number of final answers that the client has received. */
         int finalAnswers;
+        /** The association ended, or its cut-off passed, without a final answer. */
         boolean endedUnanswered;
 
-        public ObservedAssociation(long id, Scenario.Workload work) {
+        public ObservedAssociation(long id, Scenario.Workload useCase) {
             this.id = id;
-            this.useCase = work;
+            this.useCase = useCase;
         }
     }
 
-    /** One dispatch that reached a backend with its last byte; `never`: the backend answered that it does not run. */
+    /** A dispatch that has reached a backend completely. */
     public static final class ObservedDispatch {
         final String backend;
         final String zone;
         final long reachedAt;
+        /** The backend rejected it with BUSY, so it has not run. */
         boolean neverRan;
+        /** No longer in flight: the backend rejected it, or the connection between relay and backend has ended. */
         boolean ended;
 
-        ObservedDispatch(String backend, String zone, long at) {
+        ObservedDispatch(String backend, String zone, long reachedAt) {
             this.backend = backend;
             this.zone = zone;
-            this.reachedAt = at;
+            this.reachedAt = reachedAt;
         }
 
+        /** The backend rejects it with BUSY. */
         public void markNeverRan() {
             neverRan = true;
             ended = true;
         }
 
-        /** The relay learned its end, or ended it. */
+        /** The relay has been notified of the end of the dispatch, or has ended it. */
         public void markEnded() {
             ended = true;
         }
     }
 
-    /** A dispatch's last byte reached a backend. */
-    public ObservedDispatch onDispatchReachedBackend(ObservedAssociation c, String backend, String zone, long now) {
-        ObservedDispatch run = new ObservedDispatch(backend, zone, now);
-        for (ObservedDispatch before : c.dispatches) {
-            boolean far = now - before.reachedAt > c.useCase.deduplicationWindow() + slack
-                    || isOutOfScope(c.useCase.deduplicationScope(), before, run);
-            if (!before.neverRan
-                    && (c.useCase.effect() == Scenario.Effect.BINDING
-                            || c.useCase.effect() == Scenario.Effect.FINGERPRINTED && far)) {
+    /** Records that the last byte of a dispatch reached a backend, and checks for duplicate effects. */
+    public ObservedDispatch onDispatchReachedBackend(
+            ObservedAssociation association, String backend, String zone, long now) {
+        ObservedDispatch dispatch = new ObservedDispatch(backend, zone, now);
+        for (ObservedDispatch earlier : association.dispatches) {
+            boolean isOutsideDeduplication = now - earlier.reachedAt > association.useCase.deduplicationWindow() + slack
+                    || isOutOfScope(association.useCase.deduplicationScope(), earlier, dispatch);
+            if (!earlier.neverRan
+                    && (association.useCase.effect() == Scenario.Effect.BINDING
+                            || association.useCase.effect() == Scenario.Effect.FINGERPRINTED
+                                    && isOutsideDeduplication)) {
                 recordViolation(
                         Invariant.NO_DUPLICATE_EFFECT,
-                        c,
+                        association,
                         now,
-                        c.useCase.effect() + ": " + before.backend + ", then " + backend);
+                        association.useCase.effect() + ": " + earlier.backend + ", then " + backend);
             }
         }
-        c.dispatches.add(run);
-        return run;
+        association.dispatches.add(dispatch);
+        return dispatch;
     }
 
     /**
-     * Dispatches of this association before the last that have not ended yet; judged by
-     * {@link #checkConcurrentDispatches} once word can have come.
+     * Dispatches of the association before the last one that have not ended yet. {@link #checkConcurrentDispatches}
+     * checks them after the slack, when their ends must have become visible.
      */
-    List<ObservedDispatch> outstandingDispatches(ObservedAssociation c) {
-        return c.dispatches.stream()
-                .limit(c.dispatches.size() - 1L)
-                .filter(r -> !r.ended)
+    List<ObservedDispatch> outstandingDispatches(ObservedAssociation association) {
+        return association.dispatches.stream()
+                .limit(association.dispatches.size() - 1L)
+                .filter(dispatch -> !dispatch.ended)
                 .toList();
     }
 
@@ -121,127 +154,163 @@
         return slack;
     }
 
-    void checkConcurrentDispatches(ObservedAssociation c, ObservedDispatch before, ObservedDispatch then, long now) {
-        if (!before.ended) {
-            recordViolation(Invariant.NO_CONCURRENT_DISPATCHES, c, now, before.backend + ", then " + then.backend);
+    /** Reports a violation if the earlier dispatch has not ended although the later one has been sent. */
+    void checkConcurrentDispatches(
+            ObservedAssociation association, ObservedDispatch earlier, ObservedDispatch later, long now) {
+        if (!earlier.ended) {
+            recordViolation(
+                    Invariant.NO_CONCURRENT_DISPATCHES, association, now, earlier.backend + ", then " + later.backend);
         }
     }
 
-    /** All scenarios' backends are in one cell. */
-    private static boolean isOutOfScope(String scope, ObservedDispatch one, ObservedDispatch other) {
-        return scope.equals("zone") && !one.zone.equals(other.zone);
+    /**
+     * The backends of the two dispatches don't share deduplication. Only the scope {@code zone} can separate them,
+     * because all backends of a scenario are in one cell.
+     */
+    private static boolean isOutOfScope(String scope, ObservedDispatch first, ObservedDispatch second) {
+        return scope.equals("zone") && !first.zone.equals(second.zone);
     }
 
-    /** A client read a final answer: UP (whose end is another matter), BUSY or ERR. */
-    public void onFinalAnswer(ObservedAssociation c, boolean shed, long now) {
-        c.finalAnswers++;
-        if (c.finalAnswers > 1) {
-            recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, c, now, "answer " + c.finalAnswers);
+    /**
+     * Records that a client received a final answer: UP, BUSY or ERR. How an established connection ends is checked by
+     * {@link #onUnexpectedClose}.
+     *
+     * @param shed the answer is BUSY
+     */
+    public void onFinalAnswer(ObservedAssociation association, boolean shed, long now) {
+        association.finalAnswers++;
+        if (association.finalAnswers > 1) {
+            recordViolation(
+                    Invariant.NOTHING_AFTER_FINAL_ANSWER, association, now, "answer " + association.finalAnswers);
         }
-        boolean mayHaveRun = c.dispatches.stream().anyMatch(r -> !r.neverRan);
-        boolean harmless = c.useCase.effect() == Scenario.Effect.RETRIABLE
-                || c.useCase.effect() == Scenario.Effect.FINGERPRINTED
-                        && c.useCase.deduplicationScope().equals("all");
-        if (shed && mayHaveRun && !harmless) {
+        boolean mayHaveRun = association.dispatches.stream().anyMatch(dispatch -> !dispatch.neverRan);
+        boolean isRepeatHarmless = association.useCase.effect() == Scenario.Effect.RETRIABLE
+                || association.useCase.effect() == Scenario.Effect.FINGERPRINTED
+                        && association.useCase.deduplicationScope().equals("all");
+        if (shed && mayHaveRun && !isRepeatHarmless) {
             recordViolation(
                     Invariant.NO_SHED_IF_MAY_HAVE_RUN,
-                    c,
+                    association,
                     now,
-                    c.useCase.effect().toString());
+                    association.useCase.effect().toString());
         }
     }
 
-    /** A client read a line after its association's final answer that was no UP. */
-    public void onLineAfterFinalAnswer(ObservedAssociation c, long now) {
-        recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, c, now, "a line after the final answer");
+    /** Records that a client received a line after a final answer other than UP. */
+    public void onLineAfterFinalAnswer(ObservedAssociation association, long now) {
+        recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, association, now, "a line after the final answer");
     }
 
-    /** The connection ended, or the client's time was up, while the relay could have answered. */
-    public void onEndWithoutAnswer(ObservedAssociation c, String how, long now) {
-        if (c.finalAnswers == 0 && !c.endedUnanswered) {
-            recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, c, now, how);
+    /**
+     * Records that a connection ended, or its cut-off passed, while the relay could have answered. It is a violation if
+     * the client has received no final answer; reported once per association.
+     */
+    public void onEndWithoutAnswer(ObservedAssociation association, String reason, long now) {
+        if (association.finalAnswers == 0 && !association.endedUnanswered) {
+            recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, association, now, reason);
         }
-        c.endedUnanswered = true;
+        association.endedUnanswered = true;
     }
 
-    /** An open connection was cut off by the relay though its backend still answered. */
-    public void onUnexpectedClose(ObservedAssociation c, long now) {
-        recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, c, now, "cut off while open");
+    /** Records that the relay closed an open connection although its backend still responds. */
+    public void onUnexpectedClose(ObservedAssociation association, long now) {
+        recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, association, now, "cut off while open");
     }
 
     /**
-     * A dispatch's first byte left for a backend of which that relay had heard at `heardAt` that it drains or is gone.
+     * Records that a relay sent the first byte of a dispatch.
+     *
+     * @param notifiedAt when the relay was notified that the backend is draining or gone; negative if it was not
      */
-    public void onDispatchSent(String backend, long heardAt, long now) {
-        if (heardAt >= 0 && now - heardAt > scenario.rules().drainGrace() + slack) {
+    public void onDispatchSent(String backend, long notifiedAt, long now) {
+        if (notifiedAt >= 0 && now - notifiedAt > scenario.rules().drainGrace() + slack) {
             recordViolation(
                     Invariant.NO_DISPATCH_TO_DRAINED_BACKEND,
                     null,
                     now,
-                    backend + " " + (now - heardAt) / 1_000_000 + " ms after hearing");
+                    backend + " " + (now - notifiedAt) / NANOS_PER_MILLI + " ms after hearing");
         }
     }
 
-    /** An opening that no usual client sent, or whose client had its end, reached a backend. */
+    /** Records that an OPEN line that no regular client sent reached a backend. */
     public void onInvalidRequestReachedBackend(String backend, long now) {
         recordViolation(Invariant.NO_INVALID_REQUEST_AT_BACKEND, null, now, backend);
     }
 
-    /** What reached one backend since it last started, kept for as long as it is cold. */
+    /** Dispatches that reached one backend since its last start, recorded while it is cold. */
     public static final class SlowStartTracker {
+        /** Arrival times within the last burst window before the newest one, oldest first. */
         private final ArrayDeque<Long> recentDispatches = new ArrayDeque<>();
+
         private boolean violationReported;
-        private double allowed = 1;
+        /** Limit per burst window, as computed at the last dispatch; 1 before the first. */
+        private double allowedDispatches = 1;
 
-        /** What reached it within the fall before `now`, as a share of what was allowed last. */
-        double usedShare(long now, long fall) {
-            return recentDispatches.stream().filter(at -> now - at <= fall).count() / allowed;
+        /** Dispatches within the burst window before {@code now}, as a share of the last computed limit. */
+        double usedShare(long now, long burstWindow) {
+            return recentDispatches.stream()
+                            .filter(at -> now - at <= burstWindow)
+                            .count()
+                    / allowedDispatches;
         }
     }
 
     /**
-     * A dispatch reached a backend started at `startedAt`. Within any stretch as long as the fall, all relays together
-     * may send it `fallMultiple` times what one of that size and age sets up: `perSecond` when warm, by its speed.
+     * Records that a dispatch reached a backend in its slow start, and checks the limit: within any burst window, all
+     * relays together may send it the burst multiple of the set-ups that it can complete in that time at its current
+     * warmth. Reported once per start of the backend.
+     *
+     * @param startedAt when the backend started
+     * @param warmSetUpsPerSecond set-ups that it can complete per second once it is warm
      */
     public void onDispatchReachedColdBackend(
-            SlowStartTracker cold, String backend, long startedAt, double perSecond, long now) {
-        long fall = scenario.rules().slowStartBurstWindow();
-        cold.recentDispatches.add(now);
-        while (now - cold.recentDispatches.peek() > fall) {
-            cold.recentDispatches.poll();
+            SlowStartTracker tracker, String backend, long startedAt, double warmSetUpsPerSecond, long now) {
+        long burstWindow = scenario.rules().slowStartBurstWindow();
+        tracker.recentDispatches.add(now);
+        while (now - tracker.recentDispatches.peek() > burstWindow) {
+            tracker.recentDispatches.poll();
         }
-        double age = Math.min(1.0, (double) (now - startedAt) / scenario.rules().slowStartDuration());
-        double warmth = scenario.rules().slowStartInitialFactor()
-                + (1 - scenario.rules().slowStartInitialFactor()) * age;
-        double allowed = Math.max(5, scenario.rules().slowStartBurstMultiple() * warmth * perSecond * fall / 1e9);
-        cold.allowed = allowed;
-        if (cold.recentDispatches.size() > allowed && !cold.violationReported) {
-            cold.violationReported = true;
+        double slowStartProgress =
+                Math.min(1.0, (double) (now - startedAt) / scenario.rules().slowStartDuration());
+        double slowStartFactor = scenario.rules().slowStartInitialFactor()
+                + (1 - scenario.rules().slowStartInitialFactor()) * slowStartProgress;
+        double allowedDispatches = Math.max(
+                MIN_ALLOWED_DISPATCHES,
+                scenario.rules().slowStartBurstMultiple()
+                        * slowStartFactor
+                        * warmSetUpsPerSecond
+                        * burstWindow
+                        / NANOS_PER_SECOND);
+        tracker.allowedDispatches = allowedDispatches;
+        if (tracker.recentDispatches.size() > allowedDispatches && !tracker.violationReported) {
+            tracker.violationReported = true;
             recordViolation(
                     Invariant.NO_OVERLOAD_IN_SLOW_START,
                     null,
                     now,
-                    backend + " got " + cold.recentDispatches.size() + " of " + (long) allowed);
+                    backend + " got " + tracker.recentDispatches.size() + " of " + (long) allowedDispatches);
         }
     }
 
-    private void recordViolation(Invariant rule, ObservedAssociation c, long now, String what) {
-        counts.merge(rule, 1L, Long::sum);
+    /** Counts a violation and describes it while there are few; {@code association} may be null. */
+    private void recordViolation(Invariant invariant, ObservedAssociation association, long now, String detail) {
+        violationCounts.merge(invariant, 1L, Long::sum);
         if (violationMessages.size() < MAX_VIOLATION_MESSAGES) {
-            violationMessages.add(now / 1_000_000 + " ms: " + rule.description
-                    + (c == null ? "" : ", " + Long.toHexString(c.id)) + ": " + what);
+            violationMessages.add(now / NANOS_PER_MILLI + " ms: " + invariant.description
+                    + (association == null ? "" : ", " + Long.toHexString(association.id)) + ": " + detail);
         }
     }
 
+    /** Number of violations of each invariant, including those without any. */
     public Map<Invariant, Long> violationCounts() {
-        return counts;
+        return violationCounts;
     }
 
     public boolean hasNoViolations() {
-        return counts.values().stream().allMatch(n -> n == 0);
+        return violationCounts.values().stream().allMatch(count -> count == 0);
     }
 
-    /** The first of them, in words. */
+    /** Descriptions of the first 20 violations, with times in milliseconds from the start of the run. */
     public List<String> violationMessages() {
         return violationMessages;
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/Scheduler.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Scheduler.java
@@ -1,13 +1,18 @@
 package ambertrestle.lab.simulation;
 
-/** Time and what is to happen in it, in whole nanoseconds from the start of a run. One thread lets all of it happen. */
+/** Clock and timer of a run. Times are in nanoseconds from the start of the run; all actions run on one thread. */
 public interface Scheduler {
+    /** Nanoseconds since the start of the run. */
     long now();
 
-    /** Of one moment, what was set first comes first. */
-    void scheduleAt(long time, Runnable thing);
+    /**
+     * Runs an action at the given time, or as soon as possible if that time has passed. Actions for the same time run
+     * in the order in which they were scheduled.
+     */
+    void scheduleAt(long time, Runnable action);
 
-    default void scheduleAfter(long delay, Runnable thing) {
-        scheduleAt(now() + delay, thing);
+    /** Runs an action after a delay in nanoseconds. */
+    default void scheduleAfter(long delay, Runnable action) {
+        scheduleAt(now() + delay, action);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackend.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackend.java
@@ -9,353 +9,411 @@
 import java.util.List;
 import java.util.Map;
 
-/** One backend: a queue of work, what it holds, and the troubles it can have. */
+/**
+ * A backend: a queue of work, its open connections, and the faults that a testbed can inject. Both testbeds use it; in
+ * the loopback testbed it answers over sockets. Times are in nanoseconds from the start of the run.
+ */
 public final class SimulatedBackend {
-    private static final long SECOND = 1_000_000_000L;
-    /** Longer than this a set-up does not wait for the shared store; then it is an error. */
-    private static final long STORE_PATIENCE = SECOND;
-
-    private static final BackendMessage BUSY = BackendMessage.decode(raw("BUSY")),
-            ERR = BackendMessage.decode(raw("ERR")),
-            BYE = BackendMessage.decode(raw("BYE")),
-            MOVE = BackendMessage.decode(raw("MOVE")),
-            REPLY = BackendMessage.decode(raw("R")),
-            UP = BackendMessage.decode(raw("UP 1"));
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    /** How long a set-up waits for the shared store, in nanoseconds; a longer wait makes it fail with ERR. */
+    private static final long MAX_STORE_WAIT = NANOS_PER_SECOND;
+    /** Lowest speed as a share of the fleet's speed, so that the work of many groups can't bring it to 0. */
+    private static final double MIN_SPEED_SHARE = 0.05;
+
+    private static final BackendMessage BUSY = BackendMessage.decode(encodeLine("BUSY"));
+    private static final BackendMessage ERR = BackendMessage.decode(encodeLine("ERR"));
+    private static final BackendMessage BYE = BackendMessage.decode(encodeLine("BYE"));
+    private static final BackendMessage MOVE = BackendMessage.decode(encodeLine("MOVE"));
+    private static final BackendMessage REPLY = BackendMessage.decode(encodeLine("R"));
+    private static final BackendMessage UP = BackendMessage.decode(encodeLine("UP 1"));
 
     final Testbed testbed;
+    /** Position among all backends of the run, from 0. */
     public final int number;
+
     public final String name;
     final Scenario.Fleet fleet;
-    /** Counts its processes. */
+    /** Increases when the process dies, so that actions scheduled for an earlier process are ignored. */
     private int incarnation = 1;
 
+    /** The process has died and was not restarted. */
     private boolean dead;
-    /** Told when its process dies and when it runs again: whoever owns its sockets. */
+    /** Runs when the process dies. The owner of the sockets closes them. */
     private Runnable onDeath = () -> {};
-
+    /** Runs when the process starts again. The owner of the sockets opens them. */
     private Runnable onStart = () -> {};
+    /** The process is alive but executes nothing; actions are deferred until it resumes. */
     private boolean hung;
+    /** The backend accepts connections but never answers an OPEN line. */
     private boolean silent;
+
     private boolean draining;
-    private long turnsAwayFrom = Long.MAX_VALUE;
+    /** From this time on, new associations are rejected with BUSY. */
+    private long rejectsNewFrom = Long.MAX_VALUE;
+    /** Multiplies the speed; below 1 while the backend is slowed down. */
     double speedFactor = 1;
-    /** When its process started; below 0: long ago. */
+    /**
+     * When the process started. The initial value means long before the run; a quarter of the minimum, so that
+     * subtracting it from a time doesn't overflow.
+     */
     long startedAt = Long.MIN_VALUE / 4;
-
+    /** When all queued work is finished. */
     private long busyUntil;
-    /** Those up, in the order of their connecting, and how many of each group. */
-    private final LinkedHashSet<BackendConnection> links = new LinkedHashSet<>();
-
-    private int open;
-    /** What those open cost, in nanoseconds of work a second. */
-    private double work;
-
-    private final Map<Long, Integer> groups = new HashMap<>();
-    private final List<Runnable> whileHung = new ArrayList<>();
-    private InvariantChecker.SlowStartTracker slowStart = new InvariantChecker.SlowStartTracker();
-
-    SimulatedBackend(Testbed world, int number, String name, Scenario.Fleet fleet) {
-        this.testbed = world;
+    /** Connections of the current process, in the order in which they were established. */
+    private final LinkedHashSet<BackendConnection> connections = new LinkedHashSet<>();
+    /** Number of admitted connections. */
+    private int openConnections;
+    /** Work that the lines of the admitted connections cause, in nanoseconds of work per second. */
+    private double totalLineWorkPerSecond;
+    /** Number of admitted connections of each group; without entries for groups that have none. */
+    private final Map<Long, Integer> connectionsByGroup = new HashMap<>();
+    /** Actions that wait for the end of a hang, in order. */
+    private final List<Runnable> deferredActions = new ArrayList<>();
+    /** Dispatches since the last start, for the slow-start limit. */
+    private InvariantChecker.SlowStartTracker slowStartTracker = new InvariantChecker.SlowStartTracker();
+
+    SimulatedBackend(Testbed testbed, int number, String name, Scenario.Fleet fleet) {
+        this.testbed = testbed;
         this.number = number;
         this.name = name;
         this.fleet = fleet;
     }
 
-    private static byte[] raw(String line) {
+    private static byte[] encodeLine(String line) {
         return (line + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Number of the current process, or of the next one while the backend is dead; from 1. */
     public int incarnation() {
         return incarnation;
     }
 
-    public void setLifecycleCallbacks(Runnable death, Runnable start) {
-        onDeath = death;
-        onStart = start;
+    /** Sets what runs when the process dies and when it starts again. */
+    public void setLifecycleCallbacks(Runnable deathCallback, Runnable startCallback) {
+        onDeath = deathCallback;
+        onStart = startCallback;
     }
 
+    /** The process runs, so it accepts connections, even while it is hung or draining. */
     public boolean isListening() {
         return !dead;
     }
 
-    /** Takes work and answers, as far as anyone can see from outside. */
+    /** The backend accepts and answers new associations. */
     boolean isServing() {
         return !dead && !hung && !silent && !draining;
     }
 
-    /** What is up here still gets answers. */
+    /** Connections that are already open still get answers. */
     boolean isResponsive() {
         return !dead && !hung;
     }
 
+    /** Number of admitted connections, including those whose set-up isn't complete. */
     int openConnections() {
-        return open;
+        return openConnections;
     }
 
-    /** How long what comes now would wait, in nanoseconds. */
+    /** How long work that arrives now waits until it starts, in nanoseconds. */
     long queueDelay() {
         return Math.max(0, busyUntil - testbed.now());
     }
 
-    /** The part of its speed that what is open here takes. */
+    /** The lines' work as a share of the current speed; above 1 if overloaded. */
     double utilization() {
-        return work * 1e-9 / currentSpeed();
+        return totalLineWorkPerSecond * 1e-9 / currentSpeed();
     }
 
+    /** A connection of that group is admitted here. */
     boolean hasGroup(long group) {
-        return groups.containsKey(group);
+        return connectionsByGroup.containsKey(group);
     }
 
-    /** How much of what a cold backend may get has reached it lately; 0 for a warm one. */
+    /** Recent dispatches as a share of the number allowed during slow start; 0 once the slow start is over. */
     double slowStartBudgetUsed() {
         return testbed.now() - startedAt < testbed.scenario.rules().slowStartDuration()
-                ? slowStart.usedShare(testbed.now(), testbed.scenario.rules().slowStartBurstWindow())
+                ? slowStartTracker.usedShare(
+                        testbed.now(), testbed.scenario.rules().slowStartBurstWindow())
                 : 0;
     }
 
+    /** Work done per unit of time: reduced during slow start, by faults, and by the work that each group causes. */
     double currentSpeed() {
-        double age = Math.min(
+        double slowStartProgress = Math.min(
                 1,
                 (double) (testbed.now() - startedAt) / testbed.scenario.rules().slowStartDuration());
-        double warmth = testbed.scenario.rules().slowStartInitialFactor()
-                + (1 - testbed.scenario.rules().slowStartInitialFactor()) * age;
-        double forGroups = (double) groups.size() * testbed.scenario.groups().workPerSecond() / SECOND;
-        return Math.max(0.05 * fleet.speed(), fleet.speed() * warmth * speedFactor - forGroups);
+        double slowStartFactor = testbed.scenario.rules().slowStartInitialFactor()
+                + (1 - testbed.scenario.rules().slowStartInitialFactor()) * slowStartProgress;
+        double groupWork =
+                (double) connectionsByGroup.size() * testbed.scenario.groups().workPerSecond() / NANOS_PER_SECOND;
+        return Math.max(MIN_SPEED_SHARE * fleet.speed(), fleet.speed() * slowStartFactor * speedFactor - groupWork);
     }
 
-    private long serve(long work) {
+    /** Appends work, in nanoseconds of work, to the queue and returns when it will be finished. */
+    private long enqueueWork(long work) {
         busyUntil = Math.max(testbed.now(), busyUntil) + (long) (work / currentSpeed());
         return busyUntil;
     }
 
-    private boolean here(BackendConnection link) {
-        return !dead && link.backendIncarnation == incarnation && links.contains(link);
+    /** The connection is open and belongs to the current process. */
+    private boolean isAttached(BackendConnection connection) {
+        return !dead && connection.backendIncarnation == incarnation && connections.contains(connection);
     }
 
-    // ---- what reaches it
+    // ---- events from relays
 
-    /** A connection is up. */
-    public void onConnected(BackendConnection link) {
-        link.backend = this;
-        link.backendIncarnation = incarnation;
-        links.add(link);
+    /** Called when a connection from a relay is established. */
+    public void onConnected(BackendConnection connection) {
+        connection.backend = this;
+        connection.backendIncarnation = incarnation;
+        connections.add(connection);
     }
 
-    public void onOpenRequest(BackendConnection link, byte[] opening) {
-        if (dead || link.backendIncarnation != incarnation) {
+    /** Called when the first line of a connection, the OPEN line of a dispatch, has arrived. */
+    public void onOpenRequest(BackendConnection connection, byte[] openLine) {
+        if (dead || connection.backendIncarnation != incarnation) {
             return;
         }
-        ClientConnection client = testbed.findConnection(opening);
+        ClientConnection client = testbed.findConnection(openLine);
         if (client == null) {
             testbed.invariantChecker.onInvalidRequestReachedBackend(name, testbed.now());
-            link.sendLine(ERR);
+            connection.sendLine(ERR);
             return;
         }
-        link.client = client;
-        link.dispatch = testbed.invariantChecker.onDispatchReachedBackend(
+        connection.client = client;
+        connection.dispatch = testbed.invariantChecker.onDispatchReachedBackend(
                 client.association, name, fleet.zone(), testbed.now());
-        InvariantChecker.ObservedDispatch run = link.dispatch;
-        // Two ways from one relay may differ in length: the end of the dispatch before may come after this one.
+        InvariantChecker.ObservedDispatch dispatch = connection.dispatch;
+        // One relay's latencies to two backends differ, so this dispatch may arrive before the end of the previous one
+        // is visible. Concurrent dispatches are therefore checked after the slack.
         testbed.invariantChecker
                 .outstandingDispatches(client.association)
-                .forEach(before -> testbed.scheduler.scheduleAfter(
+                .forEach(earlier -> testbed.scheduler.scheduleAfter(
                         testbed.invariantChecker.slack(),
                         () -> testbed.invariantChecker.checkConcurrentDispatches(
-                                client.association, before, run, testbed.now())));
+                                client.association, earlier, dispatch, testbed.now())));
         testbed.metrics.add(MetricsRecorder.Series.DISPATCHES, 1, testbed.now());
         if (testbed.now() - startedAt < testbed.scenario.rules().slowStartDuration()) {
             testbed.metrics.add(MetricsRecorder.Series.DISPATCHES_TO_COLD_BACKENDS, 1, testbed.now());
             testbed.invariantChecker.onDispatchReachedColdBackend(
-                    slowStart,
+                    slowStartTracker,
                     name,
                     startedAt,
-                    fleet.speed() * SECOND / Math.max(1, testbed.meanSetUpWork()),
+                    fleet.speed() * NANOS_PER_SECOND / Math.max(1, testbed.meanSetUpWork()),
                     testbed.now());
         }
-        act(() -> admit(link));
+        runOrDefer(() -> admit(connection));
     }
 
-    private void act(Runnable thing) {
+    /** Runs an action of the process, or defers it while the process hangs. */
+    private void runOrDefer(Runnable action) {
         if (hung) {
-            whileHung.add(thing);
+            deferredActions.add(action);
         } else {
-            thing.run();
+            action.run();
         }
     }
 
-    private void admit(BackendConnection link) {
-        if (!here(link)) {
+    /** Rejects a new association if the backend is full or draining; otherwise starts its set-up. */
+    private void admit(BackendConnection connection) {
+        if (!isAttached(connection)) {
             return;
         }
-        if (open >= fleet.maxConnections() || testbed.now() >= turnsAwayFrom) {
-            link.dispatch.markNeverRan();
-            link.sendLine(BUSY);
+        if (openConnections >= fleet.maxConnections() || testbed.now() >= rejectsNewFrom) {
+            connection.dispatch.markNeverRan();
+            connection.sendLine(BUSY);
             return;
         }
         if (silent) {
             return;
         }
-        open++;
-        link.admitted = true;
-        work += rate(link);
-        long group = link.client.session.group;
-        boolean newHere = group != 0 && groups.merge(group, 1, Integer::sum) == 1;
-        long setUp = link.client.session.useCase.setUpWork();
-        long done = serve(newHere ? 2 * setUp : setUp);
-        long stored = testbed.reserveStoreWork(done);
-        int mine = incarnation;
-        if (stored - testbed.now() > STORE_PATIENCE) {
-            testbed.scheduler.scheduleAfter(STORE_PATIENCE, () -> act(() -> failed(link, mine)));
+        openConnections++;
+        connection.admitted = true;
+        totalLineWorkPerSecond += lineWorkPerSecond(connection);
+        long group = connection.client.session.group;
+        boolean isNewGroup = group != 0 && connectionsByGroup.merge(group, 1, Integer::sum) == 1;
+        long setUpWork = connection.client.session.useCase.setUpWork();
+        // The first connection of a group needs twice the work.
+        long doneAt = enqueueWork(isNewGroup ? 2 * setUpWork : setUpWork);
+        long storedAt = testbed.reserveStoreWork(doneAt);
+        int expectedIncarnation = incarnation;
+        if (storedAt - testbed.now() > MAX_STORE_WAIT) {
+            testbed.scheduler.scheduleAfter(
+                    MAX_STORE_WAIT, () -> runOrDefer(() -> failSetUp(connection, expectedIncarnation)));
         } else {
-            testbed.scheduler.scheduleAt(stored, () -> act(() -> up(link, mine)));
+            testbed.scheduler.scheduleAt(
+                    storedAt, () -> runOrDefer(() -> completeSetUp(connection, expectedIncarnation)));
         }
     }
 
-    private static double rate(BackendConnection link) {
-        return (double) link.client.session.useCase.lineWork() * SECOND / link.client.session.useCase.lineInterval();
+    /** Work that the connection's lines cause, in nanoseconds of work per second. */
+    private static double lineWorkPerSecond(BackendConnection connection) {
+        return (double) connection.client.session.useCase.lineWork()
+                * NANOS_PER_SECOND
+                / connection.client.session.useCase.lineInterval();
     }
 
-    private void failed(BackendConnection link, int mine) {
-        if (mine == incarnation && here(link)) {
-            release(link);
-            link.sendLine(ERR);
+    private void failSetUp(BackendConnection connection, int expectedIncarnation) {
+        if (expectedIncarnation == incarnation && isAttached(connection)) {
+            releaseConnection(connection);
+            connection.sendLine(ERR);
         }
     }
 
-    private void up(BackendConnection link, int mine) {
-        if (mine != incarnation || !here(link)) {
+    private void completeSetUp(BackendConnection connection, int expectedIncarnation) {
+        if (expectedIncarnation != incarnation || !isAttached(connection)) {
             return;
         }
-        link.client.backendConnection = link;
-        link.sendLine(UP);
-        long left = link.client.session.remainingDuration();
-        testbed.scheduler.scheduleAfter(left, () -> act(() -> served(link, mine)));
-    }
-
-    private void served(BackendConnection link, int mine) {
-        if (mine == incarnation && here(link)) {
-            release(link);
-            links.remove(link);
-            link.sendLine(BYE);
-            link.closeByBackend();
+        connection.client.backendConnection = connection;
+        connection.sendLine(UP);
+        long remaining = connection.client.session.remainingDuration();
+        testbed.scheduler.scheduleAfter(
+                remaining, () -> runOrDefer(() -> endConnection(connection, expectedIncarnation)));
+    }
+
+    /** Ends a connection whose client has been served for as long as it wanted. */
+    private void endConnection(BackendConnection connection, int expectedIncarnation) {
+        if (expectedIncarnation == incarnation && isAttached(connection)) {
+            releaseConnection(connection);
+            connections.remove(connection);
+            connection.sendLine(BYE);
+            connection.closeByBackend();
         }
     }
 
-    public void onLine(BackendConnection link) {
-        act(() -> {
-            if (here(link) && link.admitted) {
-                long done = serve(link.client.session.useCase.lineWork());
-                int mine = incarnation;
+    /** Called when a payload line of an open connection has arrived. Its reply is sent once its work is finished. */
+    public void onLine(BackendConnection connection) {
+        runOrDefer(() -> {
+            if (isAttached(connection) && connection.admitted) {
+                long doneAt = enqueueWork(connection.client.session.useCase.lineWork());
+                int expectedIncarnation = incarnation;
                 testbed.scheduler.scheduleAt(
-                        done,
-                        () -> act(() -> {
-                            if (mine == incarnation && here(link)) {
-                                link.sendLine(REPLY);
+                        doneAt,
+                        () -> runOrDefer(() -> {
+                            if (expectedIncarnation == incarnation && isAttached(connection)) {
+                                connection.sendLine(REPLY);
                             }
                         }));
             }
         });
     }
 
-    public void onClientEnded(BackendConnection link) {
-        act(() -> {
-            if (here(link)) {
-                release(link);
-                links.remove(link);
-                link.closeByBackend();
+    /** Called when the relay has ended its sending direction, because the client ended its own. */
+    public void onClientEnded(BackendConnection connection) {
+        runOrDefer(() -> {
+            if (isAttached(connection)) {
+                releaseConnection(connection);
+                connections.remove(connection);
+                connection.closeByBackend();
             }
         });
     }
 
-    public void onClosed(BackendConnection link) {
-        if (link.backendIncarnation == incarnation && links.remove(link)) {
-            release(link);
+    /** Called when the relay has closed or reset the connection. */
+    public void onClosed(BackendConnection connection) {
+        if (connection.backendIncarnation == incarnation && connections.remove(connection)) {
+            releaseConnection(connection);
         }
     }
 
-    private void release(BackendConnection link) {
-        if (link.admitted) {
-            link.admitted = false;
-            open--;
-            work -= rate(link);
-            long group = link.client.session.group;
+    /** Removes an admitted connection from the load figures; does nothing if it isn't admitted. */
+    private void releaseConnection(BackendConnection connection) {
+        if (connection.admitted) {
+            connection.admitted = false;
+            openConnections--;
+            totalLineWorkPerSecond -= lineWorkPerSecond(connection);
+            long group = connection.client.session.group;
             if (group != 0) {
-                groups.merge(group, -1, (x, y) -> x + y == 0 ? null : x + y);
+                connectionsByGroup.merge(group, -1, (x, y) -> x + y == 0 ? null : x + y);
             }
         }
     }
 
-    // ---- troubles
+    // ---- faults
 
+    /** Kills the process: all connections are reset, and the work of the process is lost. */
     void kill() {
         dead = true;
         incarnation++;
-        whileHung.clear();
+        deferredActions.clear();
         hung = false;
-        List<BackendConnection> all = new ArrayList<>(links);
-        all.forEach(this::release);
-        links.clear();
-        all.forEach(BackendConnection::resetByBackend);
+        List<BackendConnection> closedConnections = new ArrayList<>(connections);
+        closedConnections.forEach(this::releaseConnection);
+        connections.clear();
+        closedConnections.forEach(BackendConnection::resetByBackend);
         onDeath.run();
         testbed.rosterService.onBackendDied(this);
     }
 
+    /** Starts a new process, in slow start and with no work queued. */
     void restart() {
         dead = false;
         draining = false;
         silent = false;
-        turnsAwayFrom = Long.MAX_VALUE;
+        rejectsNewFrom = Long.MAX_VALUE;
         speedFactor = 1;
         startedAt = testbed.now();
         busyUntil = testbed.now();
-        slowStart = new InvariantChecker.SlowStartTracker();
+        slowStartTracker = new InvariantChecker.SlowStartTracker();
         onStart.run();
         testbed.rosterService.onBackendStarted(this);
     }
 
-    void setHung(boolean on) {
-        hung = on;
-        if (!on) {
-            List<Runnable> waiting = new ArrayList<>(whileHung);
-            whileHung.clear();
+    /** Starts a hang, or ends it and runs the deferred actions. */
+    void setHung(boolean nowHung) {
+        hung = nowHung;
+        if (!nowHung) {
+            List<Runnable> resumedActions = new ArrayList<>(deferredActions);
+            deferredActions.clear();
             busyUntil = Math.max(busyUntil, testbed.now());
-            waiting.forEach(this::act);
+            resumedActions.forEach(this::runOrDefer);
         }
     }
 
-    void setSilent(boolean on) {
-        silent = on;
+    /** While silent, the backend accepts connections but never answers an OPEN line. */
+    void setSilent(boolean nowSilent) {
+        silent = nowSilent;
     }
 
-    /** Told to go: the roster hears of it, clients are sent away bit by bit, then it is gone. */
-    void drain(long lasts) {
+    /**
+     * Starts a drain. The roster lists the backend as draining; after the drain grace its clients are asked to move, in
+     * equal steps over {@code duration} nanoseconds; then the process ends. New associations are rejected with BUSY
+     * after the roster's propagation delay plus twice the drain grace.
+     */
+    void drain(long duration) {
         draining = true;
         testbed.rosterService.onBackendDraining(this);
-        long grace = testbed.scenario.rules().drainGrace();
-        turnsAwayFrom = testbed.now() + testbed.scenario.roster().propagationDelay() + 2 * grace;
-        int mine = incarnation;
-        int steps = 20;
-        for (int i = 0; i < steps; i++) {
-            int rest = steps - i;
-            testbed.scheduler.scheduleAfter(grace + lasts * i / steps, () -> act(() -> sendAway(mine, rest)));
+        long drainGrace = testbed.scenario.rules().drainGrace();
+        rejectsNewFrom = testbed.now() + testbed.scenario.roster().propagationDelay() + 2 * drainGrace;
+        int expectedIncarnation = incarnation;
+        int stepCount = 20;
+        for (int step = 0; step < stepCount; step++) {
+            int remainingSteps = stepCount - step;
+            testbed.scheduler.scheduleAfter(
+                    drainGrace + duration * step / stepCount,
+                    () -> runOrDefer(() -> moveConnections(expectedIncarnation, remainingSteps)));
         }
-        testbed.scheduler.scheduleAfter(grace + lasts, () -> {
-            if (mine == incarnation && !dead) {
+        testbed.scheduler.scheduleAfter(drainGrace + duration, () -> {
+            if (expectedIncarnation == incarnation && !dead) {
                 kill();
             }
         });
     }
 
-    private void sendAway(int mine, int rest) {
-        if (mine != incarnation || dead) {
+    /** Ends an equal share of the admitted connections with MOVE, oldest first: all of them in the last step. */
+    private void moveConnections(int expectedIncarnation, int remainingSteps) {
+        if (expectedIncarnation != incarnation || dead) {
             return;
         }
-        List<BackendConnection> all = links.stream().filter(l -> l.admitted).toList();
-        all.stream().limit((all.size() + rest - 1) / rest).forEach(link -> {
-            release(link);
-            links.remove(link);
-            link.sendLine(MOVE);
-            link.closeByBackend();
-        });
+        List<BackendConnection> admitted =
+                connections.stream().filter(l -> l.admitted).toList();
+        admitted.stream()
+                .limit((admitted.size() + remainingSteps - 1) / remainingSteps)
+                .forEach(connection -> {
+                    releaseConnection(connection);
+                    connections.remove(connection);
+                    connection.sendLine(MOVE);
+                    connection.closeByBackend();
+                });
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRosterService.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRosterService.java
@@ -9,111 +9,129 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The roster service: one list, told to all who watch after its lag; while it is down watches end and calls fail. */
+/**
+ * The roster service: one versioned list of backends. Watchers are notified of changes after the propagation delay.
+ * While the service is down, watches end and new watches fail.
+ */
 public final class SimulatedRosterService {
-    private static final long MS = 1_000_000L;
-    /** Whoever watches the list. */
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    /** Receives the roster and its changes. */
     public interface Watcher {
+        /** Called with the first message of a watch, then with the changes of each new version. */
         void onMessage(RosterMessage message);
 
-        /** The watch ended. */
+        /** Called when the service has ended the watch; no message follows. */
         void onWatchEnded();
     }
 
     private final Testbed testbed;
-    private final TreeMap<String, RosterMessage.Entry> listed = new TreeMap<>();
-    /** What changed with each version, so that a watch can go on from where it was. */
-    private final TreeMap<Long, List<RosterMessage.Entry>> changes = new TreeMap<>();
-    /** What will be told, by when. */
-    private final TreeMap<Long, List<RosterMessage.Entry>> pendingChanges = new TreeMap<>();
+    /** Current entries by the backend's name. */
+    private final TreeMap<String, RosterMessage.Entry> entries = new TreeMap<>();
+    /** Changed entries by version, so that a new watch can resume from a version that the relay knows. */
+    private final TreeMap<Long, List<RosterMessage.Entry>> changesByVersion = new TreeMap<>();
+    /** Changes that have not been published yet, by the time of publication. */
+    private final TreeMap<Long, List<RosterMessage.Entry>> pendingChangesByTime = new TreeMap<>();
 
     private final Set<Watcher> watchers = new LinkedHashSet<>();
-    private long index = 1;
-    /** How it fails; null while it serves. */
+    /** Number of the last published version. */
+    private long version = 1;
+    /** How the service fails; null while it works. */
     private RosterFailureMode failureMode;
-
+    /** Multiplies the propagation delay of new changes. */
     double lagFactor = 1;
 
-    SimulatedRosterService(Testbed world) {
-        this.testbed = world;
+    SimulatedRosterService(Testbed testbed) {
+        this.testbed = testbed;
     }
 
-    /** Before the run: listed for long. */
-    void addInitialBackend(SimulatedBackend b) {
-        listed.put(b.name, line(b, Stage.READY));
+    /** Adds a backend that is listed when the run starts, without notifying watchers. */
+    void addInitialBackend(SimulatedBackend backend) {
+        entries.put(backend.name, createEntry(backend, Stage.READY));
     }
 
+    /** The complete roster in its current version. */
     public RosterMessage fullRoster() {
-        return new RosterMessage(index, true, new ArrayList<>(listed.values()));
+        return new RosterMessage(version, true, new ArrayList<>(entries.values()));
     }
 
-    private RosterMessage.Entry line(SimulatedBackend b, Stage stage) {
+    /** The backend's name is also its address. A start long before the run is given as Unix time 0. */
+    private RosterMessage.Entry createEntry(SimulatedBackend backend, Stage stage) {
         return new RosterMessage.Entry(
-                b.name,
-                b.name,
+                backend.name,
+                backend.name,
                 stage,
-                b.fleet.zone(),
-                b.fleet.name(),
+                backend.fleet.zone(),
+                backend.fleet.name(),
                 0,
-                b.fleet.weight(),
-                b.startedAt < 0 ? 0 : testbed.toUnixTime(b.startedAt) / MS);
+                backend.fleet.weight(),
+                backend.startedAt < 0 ? 0 : testbed.toUnixTime(backend.startedAt) / NANOS_PER_MILLI);
     }
 
-    void onBackendDied(SimulatedBackend b) {
-        int life = b.incarnation();
+    /** Lists a backend as gone if it is still dead after the failure detection delay. */
+    void onBackendDied(SimulatedBackend backend) {
+        int incarnation = backend.incarnation();
         testbed.scheduler.scheduleAfter(testbed.scenario.roster().failureDetectionDelay(), () -> {
-            if (!b.isListening() && b.incarnation() == life && listed.containsKey(b.name)) {
-                change(line(b, Stage.GONE));
+            if (!backend.isListening() && backend.incarnation() == incarnation && entries.containsKey(backend.name)) {
+                scheduleChange(createEntry(backend, Stage.GONE));
             }
         });
     }
 
-    void onBackendStarted(SimulatedBackend b) {
-        change(line(b, Stage.READY));
+    void onBackendStarted(SimulatedBackend backend) {
+        scheduleChange(createEntry(backend, Stage.READY));
     }
 
-    void onBackendDraining(SimulatedBackend b) {
-        change(line(b, Stage.DRAINING));
+    void onBackendDraining(SimulatedBackend backend) {
+        scheduleChange(createEntry(backend, Stage.DRAINING));
     }
 
-    /** What changes at one moment is told in one message. */
-    private void change(RosterMessage.Entry line) {
-        long due = testbed.now() + (long) (testbed.scenario.roster().propagationDelay() * lagFactor);
-        List<RosterMessage.Entry> together = pendingChanges.get(due);
-        if (together != null) {
-            together.add(line);
+    /** Publishes a change after the propagation delay. Changes due at the same time share a version and a message. */
+    private void scheduleChange(RosterMessage.Entry entry) {
+        long dueAt = testbed.now() + (long) (testbed.scenario.roster().propagationDelay() * lagFactor);
+        List<RosterMessage.Entry> pendingEntries = pendingChangesByTime.get(dueAt);
+        if (pendingEntries != null) {
+            pendingEntries.add(entry);
             return;
         }
-        pendingChanges.put(due, new ArrayList<>(List.of(line)));
-        testbed.scheduler.scheduleAt(due, () -> {
-            List<RosterMessage.Entry> lines = pendingChanges.remove(due);
-            index++;
-            for (RosterMessage.Entry l : lines) {
-                changes.computeIfAbsent(index, k -> new ArrayList<>()).add(l);
-                if (l.stage() == Stage.GONE) {
-                    listed.remove(l.name());
+        pendingChangesByTime.put(dueAt, new ArrayList<>(List.of(entry)));
+        testbed.scheduler.scheduleAt(dueAt, () -> {
+            List<RosterMessage.Entry> changedEntries = pendingChangesByTime.remove(dueAt);
+            version++;
+            for (RosterMessage.Entry changed : changedEntries) {
+                changesByVersion
+                        .computeIfAbsent(version, k -> new ArrayList<>())
+                        .add(changed);
+                if (changed.stage() == Stage.GONE) {
+                    entries.remove(changed.name());
                 } else {
-                    listed.put(l.name(), l);
+                    entries.put(changed.name(), changed);
                 }
             }
-            long version = index;
-            List.copyOf(watchers).forEach(w -> w.onMessage(new RosterMessage(version, false, lines)));
+            long publishedVersion = version;
+            List.copyOf(watchers)
+                    .forEach(watcher -> watcher.onMessage(new RosterMessage(publishedVersion, false, changedEntries)));
         });
     }
 
-    /** False while it is down: the call fails. */
-    public boolean watch(Watcher watcher, long from) {
+    /**
+     * Starts a watch. The watcher receives the changes since {@code knownVersion}, or the complete roster if that is
+     * negative or newer than the current version.
+     *
+     * @return false if the service is down, so that the call fails
+     */
+    public boolean watch(Watcher watcher, long knownVersion) {
         if (failureMode != null) {
             return false;
         }
         watchers.add(watcher);
         watcher.onMessage(
-                from < 0 || from > index
+                knownVersion < 0 || knownVersion > version
                         ? fullRoster()
                         : new RosterMessage(
-                                index,
+                                version,
                                 false,
-                                changes.tailMap(from, false).values().stream()
+                                changesByVersion.tailMap(knownVersion, false).values().stream()
                                         .flatMap(List::stream)
                                         .toList()));
         return true;
@@ -123,16 +141,18 @@
         watchers.remove(watcher);
     }
 
+    /** How the service fails; null while it works. */
     public RosterFailureMode failureMode() {
         return failureMode;
     }
 
-    void setFailureMode(RosterFailureMode how) {
-        failureMode = how;
-        if (how != null) {
-            List<Watcher> all = List.copyOf(watchers);
+    /** Makes the service fail in the given way, which ends all watches, or work again if null. */
+    void setFailureMode(RosterFailureMode newMode) {
+        failureMode = newMode;
+        if (newMode != null) {
+            List<Watcher> endedWatchers = List.copyOf(watchers);
             watchers.clear();
-            all.forEach(Watcher::onWatchEnded);
+            endedWatchers.forEach(Watcher::onWatchEnded);
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
@@ -21,55 +21,72 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The model: one scenario in virtual time, in one thread, with the real reducer and the real decisions in every relay.
- * Nothing here reads a clock, so one file and one seed give the same run anywhere. A relay's own work takes no time
- * here; what that costs is measured on sockets.
+ * Runs a scenario in virtual time on one thread, with the production reducer and balancing policy in every relay. No
+ * code here reads the system clock, so the same scenario and seed give the same run on any machine. A relay's own
+ * processing takes no virtual time; the loopback testbed measures that cost.
  */
 public final class SimulatedTestbed extends Testbed {
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
     /**
-     * Danger: the roster tells starts in Unix time and relays go by the model's; two zeros would make every fresh
-     * backend start in a future that never comes. So Unix time begins with the run.
+     * Unix time at the start of the run, in nanoseconds. The roster gives start times of backends in Unix time, and
+     * relays compare them with virtual time. Without a common origin, every backend that starts during the run would
+     * have a start time in a future that the run never reaches.
      */
-    private static final long EPOCH = 0;
+    private static final long RUN_START_UNIX_NANOS = 0;
+    /** The invariant checker's slack, in longest one-way latencies; a millisecond is added to it. */
+    private static final long SLACK_LATENCIES = 6;
+    /** The roster service's latency key; backends and clients have others. */
+    private static final long ROSTER_LATENCY_KEY = -1L;
 
-    /** What a relay is to the model: events and the time in, effects out. */
+    /** A relay as the simulator sees it: takes events with their times and returns effects to execute. */
     public interface RelayStateMachine {
+        /** Processes one event at the time {@code now}, in nanoseconds from the start of the run. */
         List<Effect> apply(Event event, long now);
     }
 
     private final EventQueue eventQueue;
-    private final BalancingPolicy.Factory policy;
-    private final UnaryOperator<RelayStateMachine> change;
+    private final BalancingPolicy.Factory policyFactory;
+    /** Applied to each new state machine of a relay; the identity in regular runs. */
+    private final UnaryOperator<RelayStateMachine> relayDecorator;
+
     private final RelayConfiguration configuration;
-    private long starts;
+    /** Number of state machines created so far; gives each its own seed. */
+    private long stateMachineCount;
 
-    public SimulatedTestbed(Scenario scenario, String policy, long seed)
+    /** Creates a run with the named policy (see {@link Policies#NAMES}) and unmodified relays. */
+    public SimulatedTestbed(Scenario scenario, String policyName, long seed)
             throws RelayConfiguration.InvalidConfigurationException {
-        this(scenario, sight -> Policies.forName(policy, sight), program -> program, seed);
+        this(scenario, groundTruth -> Policies.forName(policyName, groundTruth), stateMachine -> stateMachine, seed);
     }
 
-    /** With decisions of any kind, and relays changed on purpose, which the judges must catch. */
+    /**
+     * Creates a run with any policy and with modified relays. Tests use it to check that the invariant checker detects
+     * faulty relays.
+     *
+     * @param policyProvider returns the policy factory; its argument gives the true state of the backends
+     * @param relayDecorator applied to each new state machine of a relay
+     */
     public SimulatedTestbed(
             Scenario scenario,
-            Function<BackendGroundTruth, BalancingPolicy.Factory> policy,
-            UnaryOperator<RelayStateMachine> change,
+            Function<BackendGroundTruth, BalancingPolicy.Factory> policyProvider,
+            UnaryOperator<RelayStateMachine> relayDecorator,
             long seed)
             throws RelayConfiguration.InvalidConfigurationException {
-        this(scenario, new EventQueue(), policy, change, seed);
+        this(scenario, new EventQueue(), policyProvider, relayDecorator, seed);
     }
 
     private SimulatedTestbed(
             Scenario scenario,
-            EventQueue agenda,
-            Function<BackendGroundTruth, BalancingPolicy.Factory> policy,
-            UnaryOperator<RelayStateMachine> change,
+            EventQueue eventQueue,
+            Function<BackendGroundTruth, BalancingPolicy.Factory> policyProvider,
+            UnaryOperator<RelayStateMachine> relayDecorator,
             long seed)
             throws RelayConfiguration.InvalidConfigurationException {
-        super(scenario, agenda, 6 * scenario.network().maxLatency() + MS, seed);
-        this.eventQueue = agenda;
-        this.policy = policy.apply(this);
-        this.change = change;
+        super(scenario, eventQueue, SLACK_LATENCIES * scenario.network().maxLatency() + NANOS_PER_MILLI, seed);
+        this.eventQueue = eventQueue;
+        this.policyFactory = policyProvider.apply(this);
+        this.relayDecorator = relayDecorator;
         configuration = RelayConfiguration.read(
                 Map.of(),
                 RelayConfigurationJson.create(
@@ -82,33 +99,37 @@
     }
 
     /**
-     * Plays all; `second` hears after each second of the run how many are over. False when told to stop before the end.
+     * Runs the scenario.
+     *
+     * @param continueAfterSecond called after each virtual second with the number of completed seconds; the run stops
+     *     when it returns false
+     * @return false if the run was stopped before its end
      */
-    public boolean run(IntPredicate second) {
-        for (int i = 0; i < scenario.relays().count(); i++) {
-            SimulatedRelay relay = new SimulatedRelay(this, i);
+    public boolean run(IntPredicate continueAfterSecond) {
+        for (int number = 0; number < scenario.relays().count(); number++) {
+            SimulatedRelay relay = new SimulatedRelay(this, number);
             relay.start(() -> addRelay(relay));
         }
         scheduleArrivalsAndFaults();
-        int seconds = (int) ((scenario.endTime() + SECOND - 1) / SECOND);
-        for (int s = 1; s <= seconds; s++) {
-            eventQueue.runUntil(Math.min(scenario.endTime(), s * SECOND));
+        int seconds = (int) ((scenario.endTime() + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND);
+        for (int second = 1; second <= seconds; second++) {
+            eventQueue.runUntil(Math.min(scenario.endTime(), second * NANOS_PER_SECOND));
             sampleGauges();
-            if (!second.test(s)) {
+            if (!continueAfterSecond.test(second)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** How many things have happened. */
+    /** Number of events executed so far. */
     public long processedEvents() {
         return eventQueue.processedEvents();
     }
 
     @Override
     protected long toUnixTime(long time) {
-        return EPOCH + time;
+        return RUN_START_UNIX_NANOS + time;
     }
 
     @Override
@@ -116,24 +137,28 @@
         return ((SimulatedRelay) relay).drainNotifiedAt(backend.name);
     }
 
-    ClientMessage decode(byte[] raw) {
-        return ClientMessage.decode(raw, configuration.names());
+    /** Decodes a line of a client, which includes its line end. */
+    ClientMessage decode(byte[] line) {
+        return ClientMessage.decode(line, configuration.names());
     }
 
-    RelayStateMachine newStateMachine(InitialState beginning) {
-        return change.apply(new Reducer(
-                configuration.values().withSeed(SplitMix64.mix(++starts * 31 + random.nextLong())),
-                beginning,
+    /** Creates a relay's state machine, with a seed of its own, that starts from the given state. */
+    RelayStateMachine newStateMachine(InitialState initialState) {
+        return relayDecorator.apply(new Reducer(
+                configuration.values().withSeed(SplitMix64.mix(++stateMachineCount * 31 + random.nextLong())),
+                initialState,
                 scenario.relays().persistsState(),
-                policy,
+                policyFactory,
                 now())::apply);
     }
 
+    /** One-way latency between a relay and the client with that latency key, in nanoseconds. */
     long clientLatency(int relay, long client) {
         return oneWayLatency(relay + 1L, client);
     }
 
+    /** One-way latency between a relay and the roster service, in nanoseconds. */
     long rosterLatency(int relay) {
-        return oneWayLatency(relay + 1L, -1L);
+        return oneWayLatency(relay + 1L, ROSTER_LATENCY_KEY);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
@@ -17,80 +17,122 @@
 import java.util.function.Consumer;
 
 /**
- * One run of a scenario: clients that come, backends, the roster, troubles, the judge and the meter. What time is, and
- * what carries bytes, is the subclass's: {@link SimulatedTestbed} in virtual time, or sockets. One thread; all chance
- * comes from the seed.
+ * One run of a scenario: arriving clients, backends, the roster service, injected faults, the invariant checker and the
+ * metrics. Subclasses provide the clock and the transport: {@link SimulatedTestbed} runs in virtual time, the loopback
+ * testbed in real time with relay processes and sockets. All code runs on one thread, and all random decisions come
+ * from the seed.
+ *
+ * <p>Times are in nanoseconds from the start of the run, durations in nanoseconds.
  */
 public abstract class Testbed implements BackendGroundTruth {
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
-    /** Danger: work let into a store for longer than anybody waits would keep it full for good. */
-    private static final long MAX_STORE_DELAY = 3 * SECOND;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
+    /**
+     * Longest backlog of the shared store, in nanoseconds; work beyond it is not queued. Without the limit, an
+     * overloaded store stays full forever, because it keeps working on set-ups that no backend waits for any more.
+     */
+    private static final long MAX_STORE_BACKLOG = 3 * NANOS_PER_SECOND;
+    /** Share of the warm-up during which the long-lived connections are opened. */
+    private static final double LONG_LIVED_ARRIVAL_SHARE = 0.8;
+    /** 2^64 divided by the golden ratio: the increment of SplitMix64, which spreads consecutive numbers. */
+    private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
+    /** Keeps the latency keys of backends apart from those of bad clients and of the roster service. */
+    private static final long BACKEND_LATENCY_KEY_OFFSET = 1_000_000L;
+    /** Position of the association id in an OPEN line: the length of {@code "OPEN "}. */
+    private static final int ASSOCIATION_ID_OFFSET = 5;
+    /** How long the front still sends clients to a relay after its planned stop was requested, in nanoseconds. */
+    private static final long PLANNED_STOP_ROUTING_DELAY = 300 * NANOS_PER_MILLI;
+    /**
+     * Shortest time from the request of a planned stop to the restart, in nanoseconds. A stopping relay is killed 4
+     * seconds after the request at the latest, so it has ended by then.
+     */
+    private static final long MIN_PLANNED_RESTART_DELAY = 4_500 * NANOS_PER_MILLI;
 
     public final Scenario scenario;
     public final Scheduler scheduler;
     public final InvariantChecker invariantChecker;
     public final MetricsRecorder metrics;
+    /** Source of all random decisions of the run. */
     final SplittableRandom random;
+
     public final SimulatedRosterService rosterService = new SimulatedRosterService(this);
+    /** All relays of the run, including stopped ones. */
     private final List<RelayInstance> relays = new ArrayList<>();
-    /** Those to which the front sends. */
+    /** The relays that the front, which distributes the clients, sends new clients to. */
     private final List<RelayInstance> routableRelays = new ArrayList<>();
 
     private final List<SimulatedBackend> backends = new ArrayList<>();
-    private final Map<String, SimulatedBackend> byName = new HashMap<>();
-    private final Map<Long, SimulatedBackend> byId = new HashMap<>();
+    private final Map<String, SimulatedBackend> backendsByName = new HashMap<>();
+    /** Backends by the id that the balancing policies use. */
+    private final Map<Long, SimulatedBackend> backendsById = new HashMap<>();
+    /** Every client connection of the run, closed ones included, by association id. */
     private final Map<Long, ClientConnection> clientConnections = new HashMap<>();
+
     private final RosterMessage initialRoster;
-    private final double[] groupShares;
+    /** For each group, the sum of its own weight and the weights of all groups before it; empty without groups. */
+    private final double[] cumulativeGroupWeights;
+
     private final List<String> eventLog = new ArrayList<>();
-    /** For each pair of relay and backend that is cut off, until when. */
+    /** End of the partition for each partitioned pair of relay and backend, by {@link #pairKey}. */
     private final Map<Long, Long> partitionedUntil = new HashMap<>();
 
-    private long storeUntil;
-    private double storeFactor = 1;
+    /** When the shared store has finished all queued work. */
+    private long storeBusyUntil;
+
+    private double storeSpeedFactor = 1;
     private double arrivalRateFactor = 1;
+    /** Share of new client sessions that use the first group regardless of the weights; 0 while no group is hot. */
     private double hotGroupShare;
-    private long ids;
-    private int waiting;
+
+    private long associationSequence;
+    /** Client connections that have not received a final answer yet. */
+    private int waitingClientCount;
+
     private int unansweredBadClients;
     private int badClientCount;
 
-    /** `slack`: what a limit is longer for the way between relay and witness. */
-    protected Testbed(Scenario scenario, Scheduler clock, long slack, long seed) {
+    /**
+     * Creates the backends of the scenario's fleets and the initial roster.
+     *
+     * @param slack by how many nanoseconds the invariant checker extends each time limit, because messages take time
+     *     between a relay and an observer
+     */
+    protected Testbed(Scenario scenario, Scheduler scheduler, long slack, long seed) {
         this.scenario = scenario;
-        this.scheduler = clock;
+        this.scheduler = scheduler;
         random = new SplittableRandom(seed);
         invariantChecker = new InvariantChecker(scenario, slack);
         metrics = new MetricsRecorder(scenario.warmUp(), scenario.endTime(), scenario.measurementStart());
         for (Scenario.Fleet fleet : scenario.fleets()) {
-            for (int i = 1; i <= fleet.count(); i++) {
-                SimulatedBackend b = addBackend(fleet, fleet.name() + "-" + i);
-                rosterService.addInitialBackend(b);
-                b.startedAt = fleet.startsInSlowStart() ? scenario.warmUp() : b.startedAt;
+            for (int number = 1; number <= fleet.count(); number++) {
+                SimulatedBackend backend = addBackend(fleet, fleet.name() + "-" + number);
+                rosterService.addInitialBackend(backend);
+                backend.startedAt = fleet.startsInSlowStart() ? scenario.warmUp() : backend.startedAt;
             }
         }
         initialRoster = rosterService.fullRoster();
-        groupShares = new double[scenario.groups().count()];
-        double sum = 0;
-        for (int g = 0; g < groupShares.length; g++) {
-            sum += 1 / StrictMath.pow(g + 1, scenario.groups().skew());
-            groupShares[g] = sum;
+        cumulativeGroupWeights = new double[scenario.groups().count()];
+        double cumulativeWeight = 0;
+        for (int groupIndex = 0; groupIndex < cumulativeGroupWeights.length; groupIndex++) {
+            cumulativeWeight +=
+                    1 / StrictMath.pow(groupIndex + 1, scenario.groups().skew());
+            cumulativeGroupWeights[groupIndex] = cumulativeWeight;
         }
     }
 
     private SimulatedBackend addBackend(Scenario.Fleet fleet, String name) {
-        SimulatedBackend b = new SimulatedBackend(this, backends.size(), name, fleet);
-        backends.add(b);
-        byName.put(name, b);
-        byId.put(BackendDirectory.backendId(name), b);
-        return b;
+        SimulatedBackend backend = new SimulatedBackend(this, backends.size(), name, fleet);
+        backends.add(backend);
+        backendsByName.put(name, backend);
+        backendsById.put(BackendDirectory.backendId(name), backend);
+        return backend;
     }
 
     protected final List<SimulatedBackend> backends() {
         return backends;
     }
 
-    /** The list as it was before the run. */
+    /** The complete roster at the start of the run. */
     public final RosterMessage initialRoster() {
         return initialRoster;
     }
@@ -99,27 +141,29 @@
         return relays;
     }
 
-    /** A relay that serves: the front sends to it. */
+    /** Adds a relay that accepts clients, and lets the front send clients to it. */
     protected final void addRelay(RelayInstance relay) {
         relays.add(relay);
         routableRelays.add(relay);
     }
 
-    /** Lets clients come and troubles happen, from now on; the clock does the rest. */
+    /** Schedules all client arrivals and faults of the scenario. Called once, when the run starts. */
     protected final void scheduleArrivalsAndFaults() {
         scenario.workloads().forEach(this::scheduleArrivals);
         scenario.troubles()
-                .forEach(t -> scheduler.scheduleAt(scenario.warmUp() + t.startOffset(), () -> startFault(t)));
+                .forEach(fault ->
+                        scheduler.scheduleAt(scenario.warmUp() + fault.startOffset(), () -> startFault(fault)));
     }
 
-    /** What is looked at once a second. */
+    /** Records the metrics that are sampled rather than counted. Called at the end of each second of the run. */
     protected final void sampleGauges() {
-        long at = scheduler.now() - 1;
+        // One nanosecond back, so that the sample counts for the second that has just ended.
+        long sampledAt = scheduler.now() - 1;
         metrics.add(
                 Series.OPEN_CONNECTIONS,
                 backends.stream().mapToInt(SimulatedBackend::openConnections).sum(),
-                at);
-        metrics.add(Series.AWAITING_ANSWER, waiting, at);
+                sampledAt);
+        metrics.add(Series.AWAITING_ANSWER, waitingClientCount, sampledAt);
         metrics.add(
                 Series.MAX_UTILIZATION,
                 100
@@ -128,7 +172,7 @@
                                 .mapToDouble(SimulatedBackend::utilization)
                                 .max()
                                 .orElse(0),
-                at);
+                sampledAt);
         metrics.add(
                 Series.MEAN_UTILIZATION,
                 100
@@ -137,11 +181,11 @@
                                 .mapToDouble(SimulatedBackend::utilization)
                                 .average()
                                 .orElse(0),
-                at);
+                sampledAt);
         metrics.add(
                 Series.MAX_QUEUE_DELAY,
                 backends.stream().mapToLong(SimulatedBackend::queueDelay).max().orElse(0) / 1e6,
-                at);
+                sampledAt);
         metrics.add(
                 Series.MEAN_QUEUE_DELAY,
                 backends.stream()
@@ -149,65 +193,76 @@
                                 .average()
                                 .orElse(0)
                         / 1e6,
-                at);
+                sampledAt);
     }
 
     // ---- clients
 
-    private void scheduleArrivals(Workload work) {
-        for (int i = 0; i < work.longLivedConnections(); i++) {
-            long life = scenario.endTime();
+    private void scheduleArrivals(Workload workload) {
+        for (int i = 0; i < workload.longLivedConnections(); i++) {
+            long lifetime = scenario.endTime();
             scheduler.scheduleAt(
-                    (long) (random.nextDouble() * scenario.warmUp() * 0.8), () -> startSession(work, life));
+                    (long) (random.nextDouble() * scenario.warmUp() * LONG_LIVED_ARRIVAL_SHARE),
+                    () -> startSession(workload, lifetime));
         }
-        if (work.arrivalRate() > 0) {
-            scheduleNextArrival(work);
+        if (workload.arrivalRate() > 0) {
+            scheduleNextArrival(workload);
         }
     }
 
-    /** Open loop: what comes next does not wait for what came before. */
-    private void scheduleNextArrival(Workload work) {
-        scheduler.scheduleAfter((long) (exponential() * SECOND / (work.arrivalRate() * arrivalRateFactor)), () -> {
-            startSession(work, Math.max(MS, (long) (exponential() * work.meanLifetime())));
-            scheduleNextArrival(work);
-        });
+    /** Open-loop load: the next arrival does not depend on how earlier clients fared. Intervals are exponential. */
+    private void scheduleNextArrival(Workload workload) {
+        scheduler.scheduleAfter(
+                (long) (exponential() * NANOS_PER_SECOND / (workload.arrivalRate() * arrivalRateFactor)), () -> {
+                    startSession(workload, Math.max(NANOS_PER_MILLI, (long) (exponential() * workload.meanLifetime())));
+                    scheduleNextArrival(workload);
+                });
     }
 
-    private void startSession(Workload work, long life) {
+    /** Starts a session of a new client. The bitwise or keeps client id and group from being 0, which means none. */
+    private void startSession(Workload workload, long lifetime) {
         long group = 0;
-        if (groupShares.length > 0) {
-            int g = hotGroupShare > 0 && random.nextDouble() < hotGroupShare
+        if (cumulativeGroupWeights.length > 0) {
+            int groupIndex = hotGroupShare > 0 && random.nextDouble() < hotGroupShare
                     ? 0
-                    : Arrays.binarySearch(groupShares, random.nextDouble() * groupShares[groupShares.length - 1]);
-            group = SplitMix64.mix(Math.min(groupShares.length - 1, g < 0 ? -g - 1 : g) + 1L) | 1;
+                    : Arrays.binarySearch(
+                            cumulativeGroupWeights,
+                            random.nextDouble() * cumulativeGroupWeights[cumulativeGroupWeights.length - 1]);
+            group = SplitMix64.mix(
+                            Math.min(cumulativeGroupWeights.length - 1, groupIndex < 0 ? -groupIndex - 1 : groupIndex)
+                                    + 1L)
+                    | 1;
         }
-        new ClientSession(this, work, random.nextLong() | 1, group, life).start();
+        new ClientSession(this, workload, random.nextLong() | 1, group, lifetime).start();
     }
 
+    /** A sample of the exponential distribution with mean 1. */
     private double exponential() {
         return -StrictMath.log(1 - random.nextDouble());
     }
 
     long nextAssociationId() {
-        return SplitMix64.mix(++ids * 0x9e3779b97f4a7c15L);
+        return SplitMix64.mix(++associationSequence * GOLDEN_GAMMA);
     }
 
+    /** The relay that the front sends the next client to, chosen at random; null if it knows none. */
     RelayInstance selectRelay() {
         return routableRelays.isEmpty() ? null : routableRelays.get(random.nextInt(routableRelays.size()));
     }
 
-    /** One more client waits for its answer, or one less. */
-    void adjustWaitingClients(int more) {
-        waiting += more;
+    /** Adds {@code delta} to the number of client connections that wait for a final answer. */
+    void adjustWaitingClients(int delta) {
+        waitingClientCount += delta;
     }
 
-    void registerConnection(ClientConnection link) {
-        clientConnections.put(link.association.id, link);
+    void registerConnection(ClientConnection connection) {
+        clientConnections.put(connection.association.id, connection);
     }
 
     /**
-     * Every connection that a client began, by how it was answered, and every one that was up, by how it ended. Counted
-     * twice, where it happened and by what each client holds now; the difference is what nobody can account for.
+     * The number of client connections by final answer, and of established connections by how they ended, including the
+     * warm-up. The counts of events are compared with the current states of the client connections; the differences are
+     * reported as unaccounted for and must be 0.
      */
     public Map<String, Long> connectionTotals() {
         long waiting = clientConnections.values().stream()
@@ -216,9 +271,9 @@
         long open = clientConnections.values().stream()
                 .filter(ClientConnection::isEstablished)
                 .count();
-        Map<String, Long> account = new java.util.LinkedHashMap<>();
-        account.put("begun", (long) clientConnections.size());
-        for (Series s : List.of(
+        Map<String, Long> totals = new java.util.LinkedHashMap<>();
+        totals.put("begun", (long) clientConnections.size());
+        for (Series series : List.of(
                 Series.ESTABLISHED,
                 Series.SHED,
                 Series.FORFEITED,
@@ -227,101 +282,120 @@
                 Series.DONE,
                 Series.MOVED,
                 Series.BROKEN)) {
-            account.put(s.label, metrics.totalWithWarmUp(s));
+            totals.put(series.label, metrics.totalWithWarmUp(series));
         }
-        account.put("waiting at the end", waiting);
-        account.put("open at the end", open);
-        account.put(
+        totals.put("waiting at the end", waiting);
+        totals.put("open at the end", open);
+        totals.put(
                 "answers unaccounted for",
                 clientConnections.size()
                         - waiting
                         - metrics.totalWithWarmUp(
                                 Series.ESTABLISHED, Series.SHED, Series.FORFEITED, Series.UNANSWERED, Series.REFUSED));
-        account.put(
+        totals.put(
                 "ends unaccounted for",
                 metrics.totalWithWarmUp(Series.ESTABLISHED)
                         - open
                         - metrics.totalWithWarmUp(Series.DONE, Series.MOVED, Series.BROKEN));
-        return account;
+        return totals;
     }
 
-    /** Whose opening this is, also where its client has left meanwhile; null for one that no usual client sent. */
-    ClientConnection findConnection(byte[] opening) {
-        long id = 0;
-        for (int i = 5; i < opening.length && opening[i] != ' '; i++) {
-            id = id << 4 | Character.digit(opening[i], 16);
+    /**
+     * Finds the client connection that sent an OPEN line, even if the client has left since; null if no regular client
+     * sent it.
+     */
+    ClientConnection findConnection(byte[] openLine) {
+        long associationId = 0;
+        for (int i = ASSOCIATION_ID_OFFSET; i < openLine.length && openLine[i] != ' '; i++) {
+            associationId = associationId << 4 | Character.digit(openLine[i], 16);
         }
-        return clientConnections.get(id);
+        return clientConnections.get(associationId);
     }
 
-    // ---- what the nodes ask of it
+    // ---- used by clients, relays and backends
 
+    /** Nanoseconds since the start of the run. */
     public final long now() {
         return scheduler.now();
     }
 
-    /** Unix time of a time of the run. */
+    /** Converts a time of the run to Unix time, both in nanoseconds. */
     protected abstract long toUnixTime(long time);
 
-    /** The roster service fails in that way, or serves again where null. */
-    protected void onRosterFailureModeChanged(Scenario.RosterFailureMode how) {}
+    /** Called when the roster service starts to fail in the given way, or works again if null. */
+    protected void onRosterFailureModeChanged(Scenario.RosterFailureMode failureMode) {}
 
-    /** A partition begins or ends for that pair: sockets keep connections from coming up. */
-    protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean off) {}
+    /**
+     * Called when a network partition between a relay and a backend begins or ends. The loopback testbed overrides it
+     * to keep connections from being established; the simulated testbed delays messages by {@link #reachableAt} alone.
+     */
+    protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean partitioned) {}
 
-    /** When that relay was told that the backend drains or is gone; -1 where it was not. */
+    /** When the relay was notified that the backend is draining or gone; -1 if it was not. */
     protected abstract long drainNotifiedAt(RelayInstance relay, SimulatedBackend backend);
 
-    /** A dispatch leaves a relay, as far as can be seen from outside. */
+    /** Called when a relay sends a dispatch, as seen from outside the relay. */
     public final void onDispatchSent(RelayInstance relay, SimulatedBackend backend) {
         invariantChecker.onDispatchSent(backend.name, drainNotifiedAt(relay, backend), now());
     }
 
-    /** A backend that joins while the run lasts; sockets give it its addresses. */
-    protected void onBackendJoined(SimulatedBackend b) {}
+    /** Called when a backend is added during the run. The loopback testbed overrides it to open listening sockets. */
+    protected void onBackendJoined(SimulatedBackend backend) {}
 
+    /** The backend with that address, which is its name in the simulated testbed; null if there is none. */
     SimulatedBackend findBackend(String address) {
-        return byName.get(address);
+        return backendsByName.get(address);
     }
 
-    final long oneWayLatency(long one, long other) {
-        Scenario.Network n = scenario.network();
-        return n.minLatency()
+    /**
+     * One-way latency between two endpoints, in nanoseconds: constant for each ordered pair of keys, and spread evenly
+     * over the scenario's range.
+     */
+    final long oneWayLatency(long firstKey, long secondKey) {
+        Scenario.Network network = scenario.network();
+        return network.minLatency()
                 + Long.remainderUnsigned(
-                        SplitMix64.mix(one * 0x9e3779b97f4a7c15L + other), n.maxLatency() - n.minLatency() + 1);
+                        SplitMix64.mix(firstKey * GOLDEN_GAMMA + secondKey),
+                        network.maxLatency() - network.minLatency() + 1);
     }
 
-    /** How long a message takes one way. */
+    /** One-way latency between a relay and a backend, given by their numbers, in nanoseconds. */
     public final long oneWayLatency(int relay, int backend) {
-        return oneWayLatency(relay + 1L, backend + 1_000_000L);
+        return oneWayLatency(relay + 1L, backend + BACKEND_LATENCY_KEY_OFFSET);
     }
 
-    private static long pair(RelayInstance r, SimulatedBackend b) {
-        return (long) r.number << 32 | b.number;
+    private static long pairKey(RelayInstance relay, SimulatedBackend backend) {
+        return (long) relay.number << 32 | backend.number;
     }
 
-    /** From when on messages pass between the two. */
+    /** When messages between the two can pass: now, or the end of the partition between them. */
     public final long reachableAt(RelayInstance relay, SimulatedBackend backend) {
         if (partitionedUntil.isEmpty()) {
             return now();
         }
-        return Math.max(now(), partitionedUntil.getOrDefault(pair(relay, backend), 0L));
+        return Math.max(now(), partitionedUntil.getOrDefault(pairKey(relay, backend), 0L));
     }
 
-    /** When the shared store has done its part of a set-up that reaches it then. */
-    long reserveStoreWork(long from) {
+    /**
+     * Queues the shared store's work for one set-up and returns when it will be finished. If the backlog exceeds
+     * {@link #MAX_STORE_BACKLOG}, nothing is queued, and the returned time is too late for any backend to wait for it.
+     *
+     * @param requestedAt when the set-up reaches the store
+     */
+    long reserveStoreWork(long requestedAt) {
         if (scenario.store().workPerSetUp() == 0) {
-            return from;
+            return requestedAt;
         }
-        long begins = Math.max(from, storeUntil);
-        if (begins - now() > MAX_STORE_DELAY) {
-            return begins;
+        long startsAt = Math.max(requestedAt, storeBusyUntil);
+        if (startsAt - now() > MAX_STORE_BACKLOG) {
+            return startsAt;
         }
-        storeUntil = begins
-                + (long) (scenario.store().workPerSetUp() / (scenario.store().speed() * storeFactor));
-        return storeUntil;
+        storeBusyUntil = startsAt
+                + (long) (scenario.store().workPerSetUp() / (scenario.store().speed() * storeSpeedFactor));
+        return storeBusyUntil;
     }
 
+    /** Mean set-up work over the use cases, unweighted, in nanoseconds of work. */
     double meanSetUpWork() {
         return scenario.workloads().stream()
                 .mapToLong(Workload::setUpWork)
@@ -331,141 +405,157 @@
 
     @Override
     public boolean isServing(long backend) {
-        return byId.containsKey(backend) && byId.get(backend).isServing();
+        return backendsById.containsKey(backend) && backendsById.get(backend).isServing();
     }
 
     @Override
     public double queueDelay(long backend) {
-        return byId.get(backend).queueDelay();
+        return backendsById.get(backend).queueDelay();
     }
 
     @Override
     public double utilization(long backend) {
-        return byId.get(backend).utilization();
+        return backendsById.get(backend).utilization();
     }
 
     @Override
     public boolean hasGroup(long backend, long group) {
-        return group == 0 || byId.get(backend).hasGroup(group);
+        return group == 0 || backendsById.get(backend).hasGroup(group);
     }
 
     @Override
     public double slowStartBudgetUsed(long backend) {
-        return byId.get(backend).slowStartBudgetUsed();
+        return backendsById.get(backend).slowStartBudgetUsed();
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** What happened and when, in nanoseconds from the start of the measured time. */
+    /** The faults and restarts of the run, each with its time in seconds from the end of the warm-up. */
     public List<String> eventLog() {
         return eventLog;
     }
 
-    private void logEvent(String what) {
-        eventLog.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", (now() - scenario.warmUp()) / 1e9, what));
+    private void logEvent(String text) {
+        eventLog.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", (now() - scenario.warmUp()) / 1e9, text));
     }
 
-    /** So many that are up, drawn anew for each trouble. */
-    private <T> List<T> drawSample(List<T> from, int n) {
-        List<T> left = new ArrayList<>(from);
+    /** Draws up to {@code count} distinct candidates at random. */
+    private <T> List<T> drawSample(List<T> candidates, int count) {
+        List<T> remaining = new ArrayList<>(candidates);
         List<T> drawn = new ArrayList<>();
-        while (drawn.size() < n && !left.isEmpty()) {
-            drawn.add(left.remove(random.nextInt(left.size())));
+        while (drawn.size() < count && !remaining.isEmpty()) {
+            drawn.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return drawn;
     }
 
-    private void injectBackendFault(Trouble t, Consumer<SimulatedBackend> begins, Consumer<SimulatedBackend> ends) {
-        List<SimulatedBackend> struck = drawSample(
-                backends.stream().filter(SimulatedBackend::isListening).toList(), t.backendCount());
-        logEvent(t.kind().tomlName() + " of " + struck.size() + " backends begins");
-        struck.forEach(begins);
-        if (ends != null) {
-            scheduler.scheduleAfter(t.duration(), () -> {
-                logEvent(t.kind().tomlName() + " ends");
-                struck.forEach(ends);
+    /** Starts a fault on randomly drawn live backends, and ends it on the same ones; {@code onEnd} may be null. */
+    private void injectBackendFault(
+            Trouble fault, Consumer<SimulatedBackend> onStart, Consumer<SimulatedBackend> onEnd) {
+        List<SimulatedBackend> affected = drawSample(
+                backends.stream().filter(SimulatedBackend::isListening).toList(), fault.backendCount());
+        logEvent(fault.kind().tomlName() + " of " + affected.size() + " backends begins");
+        affected.forEach(onStart);
+        if (onEnd != null) {
+            scheduler.scheduleAfter(fault.duration(), () -> {
+                logEvent(fault.kind().tomlName() + " ends");
+                affected.forEach(onEnd);
             });
         }
     }
 
-    private void injectGlobalFault(Trouble t, Runnable begins, Runnable ends) {
-        logEvent(t.kind().tomlName() + " begins");
-        begins.run();
-        scheduler.scheduleAfter(t.duration(), () -> {
-            logEvent(t.kind().tomlName() + " ends");
-            ends.run();
+    /** Starts a fault that affects no particular backend or relay, and ends it after its duration. */
+    private void injectGlobalFault(Trouble fault, Runnable onStart, Runnable onEnd) {
+        logEvent(fault.kind().tomlName() + " begins");
+        onStart.run();
+        scheduler.scheduleAfter(fault.duration(), () -> {
+            logEvent(fault.kind().tomlName() + " ends");
+            onEnd.run();
         });
     }
 
-    private void startFault(Trouble t) {
-        switch (t.kind()) {
-            case KILL -> injectBackendFault(t, SimulatedBackend::kill, SimulatedBackend::restart);
-            case HANG -> injectBackendFault(t, b -> b.setHung(true), b -> b.setHung(false));
-            case SLOW -> injectBackendFault(t, b -> b.speedFactor = t.factor(), b -> b.speedFactor = 1);
-            case SILENT_ACCEPT -> injectBackendFault(t, b -> b.setSilent(true), b -> b.setSilent(false));
-            case DRAIN -> injectBackendFault(t, b -> b.drain(t.duration()), null);
+    private void startFault(Trouble fault) {
+        switch (fault.kind()) {
+            case KILL -> injectBackendFault(fault, SimulatedBackend::kill, SimulatedBackend::restart);
+            case HANG -> injectBackendFault(fault, backend -> backend.setHung(true), backend -> backend.setHung(false));
+            case SLOW -> injectBackendFault(
+                    fault, backend -> backend.speedFactor = fault.factor(), backend -> backend.speedFactor = 1);
+            case SILENT_ACCEPT -> injectBackendFault(
+                    fault, backend -> backend.setSilent(true), backend -> backend.setSilent(false));
+            case DRAIN -> injectBackendFault(fault, backend -> backend.drain(fault.duration()), null);
             case JOIN -> {
-                logEvent("join of " + t.backendCount() + " backends");
+                logEvent("join of " + fault.backendCount() + " backends");
                 Scenario.Fleet fleet = scenario.fleets().get(0);
-                for (int i = 0; i < t.backendCount(); i++) {
-                    SimulatedBackend b = addBackend(fleet, fleet.name() + "-new-" + backends.size());
-                    b.startedAt = now();
-                    onBackendJoined(b);
-                    rosterService.onBackendStarted(b);
+                for (int i = 0; i < fault.backendCount(); i++) {
+                    SimulatedBackend backend = addBackend(fleet, fleet.name() + "-new-" + backends.size());
+                    backend.startedAt = now();
+                    onBackendJoined(backend);
+                    rosterService.onBackendStarted(backend);
                 }
             }
             case ROSTER_LAG -> injectGlobalFault(
-                    t, () -> rosterService.lagFactor = t.factor(), () -> rosterService.lagFactor = 1);
+                    fault, () -> rosterService.lagFactor = fault.factor(), () -> rosterService.lagFactor = 1);
             case ROSTER_DOWN -> injectGlobalFault(
-                    t, () -> setRosterFailureMode(t.rosterFailureMode()), () -> setRosterFailureMode(null));
-            case RELAY_KILL -> injectRelayFault(t, false);
-            case RELAY_RESTART -> injectRelayFault(t, true);
+                    fault, () -> setRosterFailureMode(fault.rosterFailureMode()), () -> setRosterFailureMode(null));
+            case RELAY_KILL -> injectRelayFault(fault, false);
+            case RELAY_RESTART -> injectRelayFault(fault, true);
             case PARTITION -> {
-                List<RelayInstance> here = drawSample(relays, t.relayCount());
-                long until = now() + t.duration();
-                List<SimulatedBackend> there = new ArrayList<>();
+                List<RelayInstance> partitionedRelays = drawSample(relays, fault.relayCount());
+                long endsAt = now() + fault.duration();
+                List<SimulatedBackend> partitionedBackends = new ArrayList<>();
                 injectBackendFault(
-                        t,
-                        b -> {
-                            there.add(b);
-                            here.forEach(r -> {
-                                partitionedUntil.merge(pair(r, b), until, Math::max);
-                                setPartitioned(r, b, true);
+                        fault,
+                        backend -> {
+                            partitionedBackends.add(backend);
+                            partitionedRelays.forEach(relay -> {
+                                partitionedUntil.merge(pairKey(relay, backend), endsAt, Math::max);
+                                setPartitioned(relay, backend, true);
                             });
                         },
                         null);
-                scheduler.scheduleAfter(t.duration(), () -> {
+                scheduler.scheduleAfter(fault.duration(), () -> {
                     logEvent("partition ends");
-                    partitionedUntil.values().removeIf(u -> u <= now());
-                    there.forEach(b -> here.forEach(r -> setPartitioned(r, b, false)));
+                    partitionedUntil.values().removeIf(pairEndsAt -> pairEndsAt <= now());
+                    partitionedBackends.forEach(
+                            backend -> partitionedRelays.forEach(relay -> setPartitioned(relay, backend, false)));
                 });
             }
-            case STORE_SLOW -> injectGlobalFault(t, () -> storeFactor = 1 / t.factor(), () -> storeFactor = 1);
-            case HOT_GROUP -> injectGlobalFault(t, () -> hotGroupShare = t.factor(), () -> hotGroupShare = 0);
-            case BURST -> injectGlobalFault(t, () -> arrivalRateFactor = t.factor(), () -> arrivalRateFactor = 1);
-            case BAD_CLIENTS -> injectGlobalFault(t, () -> scheduleBadClients(t, now() + t.duration()), () -> {});
+            case STORE_SLOW -> injectGlobalFault(
+                    fault, () -> storeSpeedFactor = 1 / fault.factor(), () -> storeSpeedFactor = 1);
+            case HOT_GROUP -> injectGlobalFault(fault, () -> hotGroupShare = fault.factor(), () -> hotGroupShare = 0);
+            case BURST -> injectGlobalFault(
+                    fault, () -> arrivalRateFactor = fault.factor(), () -> arrivalRateFactor = 1);
+            case BAD_CLIENTS -> injectGlobalFault(
+                    fault, () -> scheduleBadClients(fault, now() + fault.duration()), () -> {});
         }
     }
 
-    /** Its first association is up since its start, so long ago. */
-    protected final void onFirstClientEstablished(RelayInstance relay, long nanos) {
+    /** Called when the first association since a restart of the relay is established. */
+    protected final void onFirstClientEstablished(RelayInstance relay, long nanosSinceStart) {
         logEvent(String.format(
-                java.util.Locale.ROOT, "%s has its first UP %d ms after its start", relay.name, nanos / MS));
+                java.util.Locale.ROOT,
+                "%s has its first UP %d ms after its start",
+                relay.name,
+                nanosSinceStart / NANOS_PER_MILLI));
     }
 
-    private void setRosterFailureMode(Scenario.RosterFailureMode how) {
-        rosterService.setFailureMode(how);
-        onRosterFailureModeChanged(how);
+    private void setRosterFailureMode(Scenario.RosterFailureMode failureMode) {
+        rosterService.setFailureMode(failureMode);
+        onRosterFailureModeChanged(failureMode);
     }
 
-    private void injectRelayFault(Trouble t, boolean planned) {
-        List<RelayInstance> gone =
-                drawSample(relays.stream().filter(r -> r.running).toList(), t.relayCount());
-        logEvent(t.kind().tomlName() + " of " + gone.size() + " relays begins");
-        for (RelayInstance relay : gone) {
+    /**
+     * Stops randomly drawn relays and starts them again: by request if planned, else by a kill, which the front detects
+     * only after a delay.
+     */
+    private void injectRelayFault(Trouble fault, boolean planned) {
+        List<RelayInstance> stoppedRelays =
+                drawSample(relays.stream().filter(r -> r.running).toList(), fault.relayCount());
+        logEvent(fault.kind().tomlName() + " of " + stoppedRelays.size() + " relays begins");
+        for (RelayInstance relay : stoppedRelays) {
             if (planned) {
                 relay.requestStop();
-                scheduler.scheduleAfter(300 * MS, () -> routableRelays.remove(relay));
+                scheduler.scheduleAfter(PLANNED_STOP_ROUTING_DELAY, () -> routableRelays.remove(relay));
             } else {
                 relay.kill();
                 scheduler.scheduleAfter(scenario.relays().failureDetectionDelay(), () -> {
@@ -474,38 +564,42 @@
                     }
                 });
             }
-            scheduler.scheduleAfter(planned ? Math.max(t.duration(), 4_500 * MS) : t.duration(), () -> {
-                relay.start(() -> {
-                    logEvent(relay.name + " is back");
-                    if (!routableRelays.contains(relay)) {
-                        routableRelays.add(relay);
-                    }
-                });
-            });
+            scheduler.scheduleAfter(
+                    planned ? Math.max(fault.duration(), MIN_PLANNED_RESTART_DELAY) : fault.duration(), () -> {
+                        relay.start(() -> {
+                            logEvent(relay.name + " is back");
+                            if (!routableRelays.contains(relay)) {
+                                routableRelays.add(relay);
+                            }
+                        });
+                    });
         }
     }
 
-    private void scheduleBadClients(Trouble t, long until) {
-        scheduler.scheduleAfter((long) (exponential() * SECOND / t.badClientRate()), () -> {
-            if (now() < until) {
+    private void scheduleBadClients(Trouble fault, long endsAt) {
+        scheduler.scheduleAfter((long) (exponential() * NANOS_PER_SECOND / fault.badClientRate()), () -> {
+            if (now() < endsAt) {
                 RelayInstance relay = selectRelay();
                 if (relay != null) {
                     badClientCount++;
                     new BadClient(this, relay, random.nextInt(BadClient.INVALID_REQUEST_COUNT)).connect();
                 }
-                scheduleBadClients(t, until);
+                scheduleBadClients(fault, endsAt);
             }
         });
     }
 
+    /** Called when a bad client has received neither an answer nor a close in time. */
     void onBadClientUnanswered() {
         unansweredBadClients++;
     }
 
+    /** Number of bad clients that received neither an answer nor a close in time. */
     public int unansweredBadClients() {
         return unansweredBadClients;
     }
 
+    /** Number of bad clients sent so far. */
     public int badClientCount() {
         return badClientCount;
     }
