--- a/lab/src/test/java/ambertrestle/lab/InvariantCheckerTest.java
+++ b/lab/src/test/java/ambertrestle/lab/InvariantCheckerTest.java
@@ -22,7 +22,10 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Relays that are broken on purpose, one a rule: the world's judges must catch each, and none that is sound. */
+/**
+ * Runs relays with one deliberate defect each and checks that the invariant checker detects it, and that it reports
+ * nothing for a correct relay.
+ */
 class InvariantCheckerTest {
     private static final String KILL = "[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nlasts = \"2s\"\nbackends = 2\n";
     private static final String DRAIN = "[[trouble]]\nkind = \"drain\"\nat = \"1s\"\nlasts = \"6s\"\nbackends = 2\n";
@@ -30,34 +33,42 @@
             "[[trouble]]\nkind = \"silent-accept\"\nat = \"1s\"\nlasts = \"5s\"\nbackends = 2\n";
     private static final String BURST = "[[trouble]]\nkind = \"burst\"\nat = \"1s\"\nlasts = \"4s\"\nfactor = 40.0\n";
 
+    /** Runs the scenario with the given policy and modified relays, and returns the violations by invariant. */
     private static Map<Invariant, Long> violationCounts(
-            Scenario s, BalancingPolicy.Factory decisions, UnaryOperator<SimulatedTestbed.RelayStateMachine> change)
+            Scenario scenario,
+            BalancingPolicy.Factory policyFactory,
+            UnaryOperator<SimulatedTestbed.RelayStateMachine> relayDecorator)
             throws Exception {
-        SimulatedTestbed world = new SimulatedTestbed(s, sight -> decisions, change, 3);
-        world.run(second -> true);
-        return world.invariantChecker.violationCounts();
+        SimulatedTestbed testbed = new SimulatedTestbed(scenario, groundTruth -> policyFactory, relayDecorator, 3);
+        testbed.run(second -> true);
+        return testbed.invariantChecker.violationCounts();
     }
 
-    /** Effects as the sound relay asks for them, changed one by one. */
+    /** Decorates a relay so that each of its effects is replaced by the effects that the function returns for it. */
     private static UnaryOperator<SimulatedTestbed.RelayStateMachine> replaceEffects(
-            java.util.function.Function<Effect, List<Effect>> change) {
-        return program -> (event, now) -> {
-            List<Effect> out = new ArrayList<>();
-            program.apply(event, now).forEach(e -> out.addAll(change.apply(e)));
-            return out;
+            java.util.function.Function<Effect, List<Effect>> replacement) {
+        return stateMachine -> (event, now) -> {
+            List<Effect> replaced = new ArrayList<>();
+            stateMachine.apply(event, now).forEach(effect -> replaced.addAll(replacement.apply(effect)));
+            return replaced;
         };
     }
 
-    private static boolean isAnswer(Effect e, String... words) {
-        return e instanceof Effect.ExecuteCommand w
-                && w.command() instanceof NetworkCommand.Write write
+    /** The effect sends a client a line that starts with one of the words. Sockets of clients have positive numbers. */
+    private static boolean isAnswer(Effect effect, String... firstWords) {
+        return effect instanceof Effect.ExecuteCommand execute
+                && execute.command() instanceof NetworkCommand.Write write
                 && write.socket() > 0
-                && List.of(words)
+                && List.of(firstWords)
                         .contains(new String(write.line(), java.nio.charset.StandardCharsets.UTF_8)
                                 .strip()
                                 .split(" ")[0]);
     }
 
+    /**
+     * Guards against false alarms: crashes, drains and silent backends make a correct relay retry, shed and forfeit,
+     * which must not count as violations.
+     */
     @Test
     void correctRelayViolatesNoInvariantUnderFaults() throws Exception {
         Map<Invariant, Long> counts =
@@ -65,63 +76,72 @@
         assertThat(counts.values()).containsOnly(0L);
     }
 
+    /** The relay sends each BUSY and ERR twice. Silent backends and a burst provide sheds and forfeits. */
     @Test
     void detectsTwoFinalAnswers() throws Exception {
-        UnaryOperator<SimulatedTestbed.RelayStateMachine> twice =
-                replaceEffects(e -> isAnswer(e, "BUSY", "ERR") ? List.of(e, e) : List.of(e));
-        assertThat(violationCounts(TestScenarios.smallScenario(SILENT + BURST), Balancer::new, twice)
+        UnaryOperator<SimulatedTestbed.RelayStateMachine> duplicateAnswers =
+                replaceEffects(effect -> isAnswer(effect, "BUSY", "ERR") ? List.of(effect, effect) : List.of(effect));
+        assertThat(violationCounts(TestScenarios.smallScenario(SILENT + BURST), Balancer::new, duplicateAnswers)
                         .get(Invariant.NOTHING_AFTER_FINAL_ANSWER))
                 .isPositive();
     }
 
+    /** The relay omits BUSY and ERR, so it closes the connection without a final answer. */
     @Test
     void detectsCloseWithoutAnswer() throws Exception {
-        UnaryOperator<SimulatedTestbed.RelayStateMachine> mute =
-                replaceEffects(e -> isAnswer(e, "BUSY", "ERR") ? List.of() : List.of(e));
-        assertThat(violationCounts(TestScenarios.smallScenario(SILENT + BURST), Balancer::new, mute)
+        UnaryOperator<SimulatedTestbed.RelayStateMachine> omitAnswers =
+                replaceEffects(effect -> isAnswer(effect, "BUSY", "ERR") ? List.of() : List.of(effect));
+        assertThat(violationCounts(TestScenarios.smallScenario(SILENT + BURST), Balancer::new, omitAnswers)
                         .get(Invariant.EXACTLY_ONE_FINAL_ANSWER))
                 .isPositive();
     }
 
+    /** The relay neither answers nor closes every tenth client connection, so the client waits until its cut-off. */
     @Test
     void detectsAssociationNeverAnsweredNorClosed() throws Exception {
-        UnaryOperator<SimulatedTestbed.RelayStateMachine> forgets = replaceEffects(e -> e
-                                instanceof Effect.ExecuteCommand w
-                        && (w.command() instanceof NetworkCommand.Write x && x.socket() > 0 && x.socket() % 10 == 0
-                                || w.command() instanceof NetworkCommand.Close c
-                                        && c.socket() > 0
-                                        && c.socket() % 10 == 0)
-                ? List.of()
-                : List.of(e));
-        assertThat(violationCounts(TestScenarios.smallScenario(""), Balancer::new, forgets)
+        UnaryOperator<SimulatedTestbed.RelayStateMachine> ignoreEveryTenthClient =
+                replaceEffects(effect -> effect instanceof Effect.ExecuteCommand execute
+                                && (execute.command() instanceof NetworkCommand.Write write
+                                                && write.socket() > 0
+                                                && write.socket() % 10 == 0
+                                        || execute.command() instanceof NetworkCommand.Close close
+                                                && close.socket() > 0
+                                                && close.socket() % 10 == 0)
+                        ? List.of()
+                        : List.of(effect));
+        assertThat(violationCounts(TestScenarios.smallScenario(""), Balancer::new, ignoreEveryTenthClient)
                         .get(Invariant.EXACTLY_ONE_FINAL_ANSWER))
                 .isPositive();
     }
 
+    /** The relay closes every tenth client connection after its first reply, though the backend still responds. */
     @Test
     void detectsCloseWithoutMove() throws Exception {
-        UnaryOperator<SimulatedTestbed.RelayStateMachine> rude = program -> {
-            TreeMap<Long, Integer> lines = new TreeMap<>();
-            return replaceEffects(e -> isAnswer(e, "R")
-                                    && lines.merge(
-                                                    ((NetworkCommand.Write) ((Effect.ExecuteCommand) e).command())
+        UnaryOperator<SimulatedTestbed.RelayStateMachine> closeAfterFirstReply = stateMachine -> {
+            TreeMap<Long, Integer> replyCounts = new TreeMap<>();
+            return replaceEffects(effect -> isAnswer(effect, "R")
+                                    && replyCounts.merge(
+                                                    ((NetworkCommand.Write) ((Effect.ExecuteCommand) effect).command())
                                                             .socket(),
                                                     1,
                                                     Integer::sum)
                                             == 1
-                                    && ((NetworkCommand.Write) ((Effect.ExecuteCommand) e).command()).socket() % 10 == 0
+                                    && ((NetworkCommand.Write) ((Effect.ExecuteCommand) effect).command()).socket() % 10
+                                            == 0
                             ? List.of(
-                                    e,
+                                    effect,
                                     new Effect.ExecuteCommand(new NetworkCommand.Close(
-                                            ((NetworkCommand.Write) ((Effect.ExecuteCommand) e).command()).socket())))
-                            : List.of(e))
-                    .apply(program);
+                                            ((NetworkCommand.Write) ((Effect.ExecuteCommand) effect).command())
+                                                    .socket())))
+                            : List.of(effect))
+                    .apply(stateMachine);
         };
-        assertThat(violationCounts(TestScenarios.smallScenario(""), Balancer::new, rude)
+        assertThat(violationCounts(TestScenarios.smallScenario(""), Balancer::new, closeAfterFirstReply)
                         .get(Invariant.EXACTLY_ONE_FINAL_ANSWER))
                 .isPositive();
     }
 
+    /** The policy retries a binding association after a time-out, when the first dispatch may have run. */
     @Test
     void detectsBindingAssociationDispatchedTwice() throws Exception {
         assertThat(violationCounts(TestScenarios.smallScenario(SILENT), RetryAfterTimeoutPolicy::new, p -> p)
@@ -129,6 +149,7 @@
                 .isPositive();
     }
 
+    /** The policy sheds a binding association that may have run, so the client tries again. */
     @Test
     void detectsShedOfBindingAssociationThatMayHaveRun() throws Exception {
         assertThat(violationCounts(TestScenarios.smallScenario(SILENT), ShedInsteadOfForfeitPolicy::new, p -> p)
@@ -136,6 +157,7 @@
                 .isPositive();
     }
 
+    /** The policy treats draining backends as ready and keeps sending to them after the grace. */
     @Test
     void detectsDispatchToDrainedBackend() throws Exception {
         assertThat(violationCounts(TestScenarios.smallScenario(DRAIN), IgnoreDrainPolicy::new, p -> p)
@@ -143,6 +165,7 @@
                 .isPositive();
     }
 
+    /** The policy sends everything to the newest backend, without slow start, when killed backends come back. */
     @Test
     void detectsColdBackendOverload() throws Exception {
         assertThat(violationCounts(TestScenarios.smallScenario(KILL + BURST), NewestBackendOnlyPolicy::new, p -> p)
@@ -150,23 +173,23 @@
                 .isPositive();
     }
 
-    /** The module, but for what a test changes. */
+    /** Delegates to the production balancer; subclasses override what is to be faulty. */
     private static class DelegatingPolicy implements BalancingPolicy {
         final Balancer balancer;
 
-        DelegatingPolicy(Map<String, String> ticket, long seed, long now) {
-            balancer = new Balancer(ticket, seed, now);
+        DelegatingPolicy(Map<String, String> settings, long seed, long now) {
+            balancer = new Balancer(settings, seed, now);
         }
 
         @Override
-        public Decision selectBackend(Association a, long now) {
-            return balancer.selectBackend(a, now);
+        public Decision selectBackend(Association association, long now) {
+            return balancer.selectBackend(association, now);
         }
 
         @Override
         public Decision onDispatchFinished(
-                Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
-            return balancer.onDispatchFinished(a, dispatch, outcome, finished, now);
+                Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+            return balancer.onDispatchFinished(association, dispatch, outcome, finished, now);
         }
 
         @Override
@@ -175,8 +198,8 @@
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now) {
-            balancer.onRosterUpdate(lines, whole, cached, now);
+        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+            balancer.onRosterUpdate(entries, complete, cached, now);
         }
 
         @Override
@@ -185,18 +208,18 @@
         }
 
         @Override
-        public void onConnectionAdopted(Association a, long backend, long now) {
-            balancer.onConnectionAdopted(a, backend, now);
+        public void onConnectionAdopted(Association association, long backend, long now) {
+            balancer.onConnectionAdopted(association, backend, now);
         }
 
         @Override
-        public void onConnectionEstablished(Association a, int dispatch, long took, long now) {
-            balancer.onConnectionEstablished(a, dispatch, took, now);
+        public void onConnectionEstablished(Association association, int dispatch, long setUpNanos, long now) {
+            balancer.onConnectionEstablished(association, dispatch, setUpNanos, now);
         }
 
         @Override
-        public void onLoadReport(Association a, double load, long now) {
-            balancer.onLoadReport(a, load, now);
+        public void onLoadReport(Association association, double load, long now) {
+            balancer.onLoadReport(association, load, now);
         }
 
         @Override
@@ -205,22 +228,22 @@
         }
 
         @Override
-        public void onClientDisconnected(Association a, long now) {
-            balancer.onClientDisconnected(a, now);
+        public void onClientDisconnected(Association association, long now) {
+            balancer.onClientDisconnected(association, now);
         }
     }
 
-    /** Takes every failure for one that never ran. */
+    /** Reports time-outs to the balancer as failed connects, so that it assumes that the dispatch never ran. */
     private static final class RetryAfterTimeoutPolicy extends DelegatingPolicy {
-        RetryAfterTimeoutPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        RetryAfterTimeoutPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
         public Decision onDispatchFinished(
-                Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+                Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
             return balancer.onDispatchFinished(
-                    a,
+                    association,
                     dispatch,
                     outcome == DispatchOutcome.TIMED_OUT ? DispatchOutcome.NOT_CONNECTED : outcome,
                     finished,
@@ -228,66 +251,70 @@
         }
     }
 
-    /** Sheds what should be forfeited. */
+    /** Sheds every association that the balancer forfeits. */
     private static final class ShedInsteadOfForfeitPolicy extends DelegatingPolicy {
-        ShedInsteadOfForfeitPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        ShedInsteadOfForfeitPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
         public Decision onDispatchFinished(
-                Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
-            Decision answer = balancer.onDispatchFinished(a, dispatch, outcome, finished, now);
-            return answer.kind == Decision.Kind.FORFEIT ? new Decision(Decision.Kind.SHED, 0, 0) : answer;
+                Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+            Decision decision = balancer.onDispatchFinished(association, dispatch, outcome, finished, now);
+            return decision.kind == Decision.Kind.FORFEIT ? new Decision(Decision.Kind.SHED, 0, 0) : decision;
         }
     }
 
-    /** Never told that a backend drains. */
+    /** Hides from the balancer that backends drain: draining entries are passed on as ready. */
     private static final class IgnoreDrainPolicy extends DelegatingPolicy {
-        IgnoreDrainPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        IgnoreDrainPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now) {
+        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
             balancer.onRosterUpdate(
-                    lines.stream()
-                            .map(l -> l.stage() == Stage.DRAINING
+                    entries.stream()
+                            .map(entry -> entry.stage() == Stage.DRAINING
                                     ? new RosterEntry(
-                                            l.backend(),
+                                            entry.backend(),
                                             Stage.READY,
-                                            l.startedAt(),
-                                            l.cell(),
-                                            l.weight(),
-                                            l.zone(),
-                                            l.instanceType())
-                                    : l)
+                                            entry.startedAt(),
+                                            entry.cell(),
+                                            entry.weight(),
+                                            entry.zone(),
+                                            entry.instanceType())
+                                    : entry)
                             .toList(),
-                    whole,
+                    complete,
                     cached,
                     now);
         }
     }
 
-    /** Everything goes to the backend that started last. */
+    /**
+     * Gives the balancer a roster of one backend, the one that started last. The entry has start time 0, so the
+     * balancer takes the backend for warm.
+     */
     private static final class NewestBackendOnlyPolicy extends DelegatingPolicy {
-        private final TreeMap<Long, Long> started = new TreeMap<>();
+        /** Start times of the ready backends by their ids. */
+        private final TreeMap<Long, Long> startTimes = new TreeMap<>();
 
-        NewestBackendOnlyPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        NewestBackendOnlyPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now) {
-            lines.forEach(l -> {
-                started.remove(l.backend());
-                if (l.stage() == Stage.READY) {
-                    started.put(l.backend(), l.startedAt());
+        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+            entries.forEach(entry -> {
+                startTimes.remove(entry.backend());
+                if (entry.stage() == Stage.READY) {
+                    startTimes.put(entry.backend(), entry.startedAt());
                 }
             });
             balancer.onRosterUpdate(
-                    started.entrySet().stream().max(Map.Entry.comparingByValue()).stream()
-                            .map(e -> new RosterEntry(e.getKey(), Stage.READY, 0, 0, 1, 0, 0))
+                    startTimes.entrySet().stream().max(Map.Entry.comparingByValue()).stream()
+                            .map(newest -> new RosterEntry(newest.getKey(), Stage.READY, 0, 0, 1, 0, 0))
                             .toList(),
                     true,
                     cached,
--- a/lab/src/test/java/ambertrestle/lab/TestScenarios.java
+++ b/lab/src/test/java/ambertrestle/lab/TestScenarios.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Small scenarios for tests, written as users write them. */
+/** Scenarios for tests, in the TOML form of scenario files. */
 final class TestScenarios {
     private TestScenarios() {}
 
+    /** Two relays, six backends, and a retriable and a binding use case; 8 s after a warm-up of 2 s, without faults. */
     static final String SMALL =
             """
             name = "small"
@@ -36,13 +37,17 @@
             life = "2s"
             """;
 
-    static Scenario smallScenario(String more) throws Exception {
-        return Scenario.read(TomlDocument.parse("small.toml", SMALL + more));
+    /** Parses {@link #SMALL} with more TOML appended, such as {@code [[trouble]]} tables. */
+    static Scenario smallScenario(String extraToml) throws Exception {
+        return Scenario.read(TomlDocument.parse("small.toml", SMALL + extraToml));
     }
 
+    /** The scenario files in the module's folder {@code scenarios}, sorted by path. */
     static List<Path> shippedScenarios() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
-            return files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
+            return files.filter(file -> file.toString().endsWith(".toml"))
+                    .sorted()
+                    .toList();
         }
     }
 }
