--- a/lab/src/main/java/ambertrestle/lab/policy/BackendGroundTruth.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/BackendGroundTruth.java
@@ -1,19 +1,25 @@
 package ambertrestle.lab.policy;
 
-/** What only an oracle sees: the true state of the backends, by the decisions' ids. */
+/**
+ * The true state of the backends, which a real relay can't see; only the oracle policy uses it. Backends are named by
+ * the ids that the decisions use. Apart from {@link #isServing}, the methods require the id of an existing backend.
+ */
 public interface BackendGroundTruth {
-    /** It takes work and answers. */
+    /** Whether the backend exists, runs, accepts work and answers, and isn't draining. */
     boolean isServing(long backend);
 
-    /** How long work that comes now would wait there, in nanoseconds. */
+    /** How long work that arrives now would wait in the backend's queue, in nanoseconds. */
     double queueDelay(long backend);
 
-    /** The part of its true speed that the lines of what is open there take. */
+    /** The share of the backend's current speed that the lines of its open connections take; 1 is full load. */
     double utilization(long backend);
 
-    /** Something of that group is open there; true where there is no group. */
+    /** Whether the backend has an open connection of that group; true if `group` is 0, which means no group. */
     boolean hasGroup(long backend, long group);
 
-    /** What reached a cold backend lately, as a share of what may; 0 for a warm one. */
+    /**
+     * Dispatches that reached the backend within the slow-start burst window, as a share of what is allowed during slow
+     * start; 0 for a backend past its slow start.
+     */
     double slowStartBudgetUsed(long backend);
 }
--- a/lab/src/main/java/ambertrestle/lab/policy/BaselinePolicy.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/BaselinePolicy.java
@@ -18,20 +18,38 @@
 import java.util.TreeMap;
 
 /**
- * What all policies that the module is compared with share: the list, the rules of effects and drains, time-outs and
- * final answers as the module gives them. They differ in {@link #pick} alone; none moves connections, and none keeps a
- * cold budget, so breaches of that rule are counted for them too.
+ * Base of the policies that {@link ambertrestle.decide.Balancer} is compared with. It tracks the roster, sends nothing
+ * to draining backends, and follows the same rules as the balancer on when an association may be dispatched again and
+ * how it is answered in the end. Subclasses choose the backend in {@link #pick} and may change the timeout of a
+ * dispatch.
+ *
+ * <p>None of them moves connections or limits the dispatches to a backend in slow start, so overload during slow start
+ * is counted as a violation for them too. None of them persists learned state.
  */
 abstract class BaselinePolicy implements BalancingPolicy {
+    /** One millisecond in nanoseconds. */
     private static final long MS = 1_000_000L;
 
-    /** What a relay knows of a backend without any mechanism. */
+    /** Least delay before a failed roster call is repeated, in nanoseconds. */
+    private static final long ROSTER_RETRY_DELAY = 250 * MS;
+
+    /** Width of the jitter on top of {@link #ROSTER_RETRY_DELAY}, in nanoseconds. */
+    private static final long ROSTER_RETRY_JITTER = 500 * MS;
+
+    /** What a relay knows of a backend from the roster and its own dispatches. */
     static final class KnownBackend {
         final long id;
         Stage stage = Stage.GONE;
+
+        /** When the roster last changed the backend from ready to draining or gone; no policy reads it. */
         long drainNoticedAt;
+
+        /** The roster's weight: a backend of weight 2 is meant to get twice as many connections as one of weight 1. */
         double weight = 1;
+
         int zone;
+
+        /** This relay's dispatches to the backend that have not finished, open connections included. */
         int activeConnections;
 
         KnownBackend(long id) {
@@ -40,71 +58,119 @@
     }
 
     final SplittableRandom random;
+
+    /** All backends that were ever listed, by id; {@link Stage#GONE} if the roster no longer lists them. */
     private final TreeMap<Long, KnownBackend> backends = new TreeMap<>(Long::compareUnsigned);
+
+    /** In the order of the settings; {@link Association#useCase} is an index into it. */
     private final List<UseCase> useCases = new ArrayList<>();
+
+    /** Most dispatches per association. */
     private final int maxDispatches;
-    private final long drainGrace, retryAfter;
+
+    /** Read from the settings but not applied: a draining backend gets nothing from the moment the roster says so. */
+    private final long drainGrace;
+
+    /** The retry-after time of every shed answer, in nanoseconds; 0 if the settings turn it off. */
+    private final long retryAfter;
+
+    /** When the roster is to be watched next, in nanoseconds. */
     private long watchAt;
+
+    /** A watch is running or was asked for. */
     private boolean watchRequested;
 
-    BaselinePolicy(Map<String, String> ticket, long seed, long now) {
+    /**
+     * @param settings the settings as the decisions read them; numbers are in decimal, times in nanoseconds
+     * @param seed for every random choice of this policy
+     */
+    BaselinePolicy(Map<String, String> settings, long seed, long now) {
         random = new SplittableRandom(seed);
-        int count = (int) Double.parseDouble(ticket.get("useCases.count"));
-        for (int u = 0; u < count; u++) {
-            useCases.add(UseCase.fromSettings(ticket, "useCases." + u + "."));
+        int count = (int) Double.parseDouble(settings.get("useCases.count"));
+        for (int i = 0; i < count; i++) {
+            useCases.add(UseCase.fromSettings(settings, "useCases." + i + "."));
         }
-        maxDispatches = (int) Double.parseDouble(ticket.get("limits.dispatches"));
-        drainGrace = (long) Double.parseDouble(ticket.get("rules.drainGrace"));
-        retryAfter = "true".equals(ticket.get("limits.retryAfter"))
-                ? (long) Double.parseDouble(ticket.get("limits.maxRetryAfter"))
+        maxDispatches = (int) Double.parseDouble(settings.get("limits.dispatches"));
+        drainGrace = (long) Double.parseDouble(settings.get("rules.drainGrace"));
+        retryAfter = "true".equals(settings.get("limits.retryAfter"))
+                ? (long) Double.parseDouble(settings.get("limits.maxRetryAfter"))
                 : 0;
         watchAt = now;
     }
 
-    /** One of those; `fit` is never empty, sorted by id, and none of them was tried for this association. */
-    abstract KnownBackend pick(Association a, List<KnownBackend> fit);
+    /**
+     * Chooses one of the candidates for the association's next dispatch.
+     *
+     * @param candidates ready backends that this association has not tried yet, by id; never empty
+     */
+    abstract KnownBackend pick(Association association, List<KnownBackend> candidates);
 
-    /** How long a dispatch that is not the last may take. */
-    long dispatchTimeout(Association a, long goal, long now) {
-        return Math.min(a.cutOffAt - now, goal / 2);
+    /**
+     * How long a dispatch may take, in nanoseconds, unless it is the last one allowed, which has until the cut-off.
+     * Half of the goal time leaves time for a second attempt within the goal.
+     */
+    long dispatchTimeout(Association association, long goalTime, long now) {
+        return Math.min(association.cutOffAt - now, goalTime / 2);
     }
 
-    /** The list changed. */
+    /**
+     * The roster has changed.
+     *
+     * @param members the listed backends, ready or draining, by id
+     */
     void onRosterChanged(List<KnownBackend> members) {}
 
+    /**
+     * Sends the association to a backend that {@link #pick} chooses. If there is none left to try, or no time or
+     * dispatch left, the association ends: it is shed if the client may safely retry, and forfeited otherwise, because
+     * the effect could then run twice.
+     */
     @Override
-    public Decision selectBackend(Association a, long now) {
-        if (a.closed || a.hasDispatchInFlight()) {
+    public Decision selectBackend(Association association, long now) {
+        if (association.closed || association.hasDispatchInFlight()) {
             return Decision.NOTHING;
         }
-        UseCase u = useCases.get(a.useCase);
-        if (now < a.cutOffAt && a.dispatchCount < maxDispatches) {
-            List<KnownBackend> fit = backends.values().stream()
-                    .filter(s -> s.stage == Stage.READY && !a.hasTried(s.id) && mayDispatchTo(a, u, s, now))
+        UseCase useCase = useCases.get(association.useCase);
+        if (now < association.cutOffAt && association.dispatchCount < maxDispatches) {
+            List<KnownBackend> candidates = backends.values().stream()
+                    .filter(backend -> backend.stage == Stage.READY
+                            && !association.hasTried(backend.id)
+                            && mayDispatchTo(association, useCase, backend, now))
                     .toList();
-            if (!fit.isEmpty()) {
-                KnownBackend s = pick(a, fit);
-                a.recordDispatch(s.id, now);
-                s.activeConnections++;
+            if (!candidates.isEmpty()) {
+                KnownBackend chosen = pick(association, candidates);
+                association.recordDispatch(chosen.id, now);
+                chosen.activeConnections++;
                 return new Decision(
                         Kind.SEND,
-                        s.id,
-                        a.dispatchCount >= maxDispatches ? a.cutOffAt - now : dispatchTimeout(a, u.goalTime(), now));
+                        chosen.id,
+                        association.dispatchCount >= maxDispatches
+                                ? association.cutOffAt - now
+                                : dispatchTimeout(association, useCase.goalTime(), now));
             }
         }
-        a.closed = true;
-        return u.effect() == Effect.RETRIABLE || u.scope() == UseCase.DeduplicationScope.ALL || a.noDispatchRan()
+        association.closed = true;
+        return useCase.effect() == Effect.RETRIABLE
+                        || useCase.scope() == UseCase.DeduplicationScope.ALL
+                        || association.noDispatchRan()
                 ? new Decision(Kind.SHED, 0, retryAfter)
                 : Decision.FORFEIT;
     }
 
-    private boolean mayDispatchTo(Association a, UseCase u, KnownBackend to, long now) {
-        for (int d = 0; d < a.dispatchCount; d++) {
-            boolean apart = u.scope() == UseCase.DeduplicationScope.ZONE && backends.get(a.sentTo[d]).zone != to.zone;
-            if (a.dispatchStates[d] != DispatchState.NEVER_RAN
-                    && (u.effect() == Effect.BINDING
-                            || u.effect() == Effect.FINGERPRINTED
-                                    && (apart || now - a.sentAt[d] >= u.deduplicationWindow()))) {
+    /**
+     * Whether a dispatch to the backend could not make the effect run twice. After a dispatch that may have run, a
+     * binding association may not be dispatched again, and a fingerprinted one only to a backend that discards the
+     * duplicate: within the deduplication window and, where the scope is a zone, in the same zone.
+     */
+    private boolean mayDispatchTo(Association association, UseCase useCase, KnownBackend target, long now) {
+        for (int i = 0; i < association.dispatchCount; i++) {
+            boolean outsideScope = useCase.scope() == UseCase.DeduplicationScope.ZONE
+                    && backends.get(association.sentTo[i]).zone != target.zone;
+            if (association.dispatchStates[i] != DispatchState.NEVER_RAN
+                    && (useCase.effect() == Effect.BINDING
+                            || useCase.effect() == Effect.FINGERPRINTED
+                                    && (outsideScope
+                                            || now - association.sentAt[i] >= useCase.deduplicationWindow()))) {
                 return false;
             }
         }
@@ -113,19 +179,22 @@
 
     @Override
     public Decision onDispatchFinished(
-            Association a, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
-        if (dispatch < 0 || dispatch >= a.dispatchCount || a.dispatchStates[dispatch] != DispatchState.IN_FLIGHT) {
+            Association association, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
+        if (dispatch < 0
+                || dispatch >= association.dispatchCount
+                || association.dispatchStates[dispatch] != DispatchState.IN_FLIGHT) {
             return Decision.NOTHING;
         }
-        a.dispatchStates[dispatch] = outcome.neverRan ? DispatchState.NEVER_RAN : DispatchState.MAY_HAVE_RUN;
-        backends.get(a.sentTo[dispatch]).activeConnections--;
-        if (finished || a.closed) {
-            a.closed = true;
+        association.dispatchStates[dispatch] = outcome.neverRan ? DispatchState.NEVER_RAN : DispatchState.MAY_HAVE_RUN;
+        backends.get(association.sentTo[dispatch]).activeConnections--;
+        if (finished || association.closed) {
+            association.closed = true;
             return Decision.NOTHING;
         }
-        return selectBackend(a, now);
+        return selectBackend(association, now);
     }
 
+    /** The only due action is to watch the roster, at the start and after a failed call. */
     @Override
     public DueActions pollDueActions(long now) {
         DueActions due = new DueActions();
@@ -137,54 +206,58 @@
         return due;
     }
 
+    /** A roster from the cache (`cached`) is used like a fresh one. */
     @Override
-    public void onRosterUpdate(List<RosterEntry> lines, boolean whole, boolean cached, long now) {
-        if (whole) {
-            backends.values().forEach(s -> s.stage = Stage.GONE);
+    public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+        if (complete) {
+            backends.values().forEach(backend -> backend.stage = Stage.GONE);
         }
-        for (RosterEntry line : lines) {
-            KnownBackend s = backends.computeIfAbsent(line.backend(), KnownBackend::new);
-            if (line.stage() != Stage.READY && s.stage == Stage.READY) {
-                s.drainNoticedAt = now;
+        for (RosterEntry entry : entries) {
+            KnownBackend backend = backends.computeIfAbsent(entry.backend(), KnownBackend::new);
+            if (entry.stage() != Stage.READY && backend.stage == Stage.READY) {
+                backend.drainNoticedAt = now;
             }
-            s.stage = line.stage();
-            s.weight = line.weight();
-            s.zone = line.zone();
+            backend.stage = entry.stage();
+            backend.weight = entry.weight();
+            backend.zone = entry.zone();
         }
-        onRosterChanged(
-                backends.values().stream().filter(s -> s.stage != Stage.GONE).toList());
+        onRosterChanged(backends.values().stream()
+                .filter(backend -> backend.stage != Stage.GONE)
+                .toList());
     }
 
     @Override
     public void onRosterCallFailed(long now) {
         watchRequested = false;
-        watchAt = now + 250 * MS + random.nextLong(500 * MS);
+        watchAt = now + ROSTER_RETRY_DELAY + random.nextLong(ROSTER_RETRY_JITTER);
     }
 
     @Override
-    public void onConnectionAdopted(Association a, long backend, long now) {
-        a.recordDispatch(backend, now);
+    public void onConnectionAdopted(Association association, long backend, long now) {
+        association.recordDispatch(backend, now);
         backends.computeIfAbsent(backend, KnownBackend::new).activeConnections++;
-        a.established = true;
+        association.established = true;
     }
 
     @Override
-    public void onConnectionEstablished(Association a, int dispatch, long took, long now) {
-        a.established = true;
+    public void onConnectionEstablished(Association association, int dispatch, long latency, long now) {
+        association.established = true;
     }
 
+    /** Ignored: these policies know only their own connections. */
     @Override
-    public void onLoadReport(Association a, double load, long now) {}
+    public void onLoadReport(Association association, double load, long now) {}
 
+    /** Ignored: these policies know only their own connections. */
     @Override
     public void onDelayReport(long backend, long delay, long now) {}
 
     @Override
-    public void onClientDisconnected(Association a, long now) {
-        a.closed = true;
-        if (a.hasDispatchInFlight()) {
-            a.dispatchStates[a.dispatchCount - 1] = DispatchState.MAY_HAVE_RUN;
-            backends.get(a.sentTo[a.dispatchCount - 1]).activeConnections--;
+    public void onClientDisconnected(Association association, long now) {
+        association.closed = true;
+        if (association.hasDispatchInFlight()) {
+            association.dispatchStates[association.dispatchCount - 1] = DispatchState.MAY_HAVE_RUN;
+            backends.get(association.sentTo[association.dispatchCount - 1]).activeConnections--;
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/policy/Policies.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/Policies.java
@@ -10,110 +10,137 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The policies that a run can be played with, by name; `module` is the one that the daemon uses. */
+/**
+ * The placement policies that a run can use, by name. `module` is {@link Balancer}, the one that the daemon uses; the
+ * others are baselines to compare it with.
+ */
 public final class Policies {
+    /** The names that {@link #forName} accepts. */
     public static final List<String> NAMES = List.of("module", "random", "least", "two", "maglev", "oracle");
 
     private Policies() {}
 
-    /** `sight` is the oracle's alone. */
-    public static BalancingPolicy.Factory forName(String name, BackendGroundTruth sight) {
+    /**
+     * The factory of the policy with that name.
+     *
+     * @param groundTruth passed to the oracle only
+     * @throws IllegalArgumentException if no policy has that name
+     */
+    public static BalancingPolicy.Factory forName(String name, BackendGroundTruth groundTruth) {
         return switch (name) {
             case "module" -> Balancer::new;
             case "random" -> RandomPolicy::new;
             case "least" -> LeastConnectionsPolicy::new;
             case "two" -> PowerOfTwoChoicesPolicy::new;
             case "maglev" -> MaglevPolicy::new;
-            case "oracle" -> (ticket, seed, now) -> new OraclePolicy(ticket, seed, now, sight);
+            case "oracle" -> (settings, seed, now) -> new OraclePolicy(settings, seed, now, groundTruth);
             default -> throw new IllegalArgumentException(
                     "policy " + name + " is not known: expected one of " + String.join(", ", NAMES));
         };
     }
 
+    /** Chooses uniformly at random. */
     private static final class RandomPolicy extends BaselinePolicy {
-        RandomPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        RandomPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
-        KnownBackend pick(Association a, List<KnownBackend> fit) {
-            return fit.get(random.nextInt(fit.size()));
+        KnownBackend pick(Association association, List<KnownBackend> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
     }
 
-    /** Fewest connections of this relay for its weight; of equals one by chance. */
+    /**
+     * Chooses the backend with the fewest connections of this relay in proportion to its weight; a random one among
+     * equals.
+     */
     private static final class LeastConnectionsPolicy extends BaselinePolicy {
-        LeastConnectionsPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        LeastConnectionsPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
-        KnownBackend pick(Association a, List<KnownBackend> fit) {
-            double least = fit.stream()
-                    .mapToDouble(s -> s.activeConnections / s.weight)
+        KnownBackend pick(Association association, List<KnownBackend> candidates) {
+            double minLoad = candidates.stream()
+                    .mapToDouble(backend -> backend.activeConnections / backend.weight)
                     .min()
                     .orElse(0);
-            List<KnownBackend> equal = fit.stream()
-                    .filter(s -> s.activeConnections / s.weight == least)
+            List<KnownBackend> leastLoaded = candidates.stream()
+                    .filter(backend -> backend.activeConnections / backend.weight == minLoad)
                     .toList();
-            return equal.get(random.nextInt(equal.size()));
+            return leastLoaded.get(random.nextInt(leastLoaded.size()));
         }
     }
 
-    /** The power of two choices, by this relay's own connections. */
+    /**
+     * Power of two choices: of two backends drawn at random, the one with fewer connections of this relay in proportion
+     * to its weight.
+     */
     private static final class PowerOfTwoChoicesPolicy extends BaselinePolicy {
-        PowerOfTwoChoicesPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        PowerOfTwoChoicesPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
         @Override
-        KnownBackend pick(Association a, List<KnownBackend> fit) {
-            KnownBackend one = fit.get(random.nextInt(fit.size()));
-            KnownBackend other = fit.get(random.nextInt(fit.size()));
-            return one.activeConnections / one.weight <= other.activeConnections / other.weight ? one : other;
+        KnownBackend pick(Association association, List<KnownBackend> candidates) {
+            KnownBackend first = candidates.get(random.nextInt(candidates.size()));
+            KnownBackend second = candidates.get(random.nextInt(candidates.size()));
+            return first.activeConnections / first.weight <= second.activeConnections / second.weight ? first : second;
         }
     }
 
     /**
-     * Maglev's table (Eisenbud et al., NSDI 2016) by group, else client, walked on from the key's slot; nothing else.
+     * Maglev hashing (Eisenbud et al., NSDI 2016) of the group key, else the client key, else the association's id. If
+     * the backend in the key's slot is no candidate, takes the next slot's, and so on. Ignores weights and load.
      */
     private static final class MaglevPolicy extends BaselinePolicy {
+        /** Size of the lookup table: a prime, so that every step width visits every slot. */
         private static final int SLOTS = 65_537;
+
+        /** The lookup table; empty while no backend is listed. */
         private KnownBackend[] table = new KnownBackend[0];
+
+        /** Ids of the backends in the table. */
         private Set<Long> members = Set.of();
 
-        MaglevPolicy(Map<String, String> ticket, long seed, long now) {
-            super(ticket, seed, now);
+        MaglevPolicy(Map<String, String> settings, long seed, long now) {
+            super(settings, seed, now);
         }
 
+        /**
+         * Builds the table anew if backends came or went: in turn, each takes the next free slot of its permutation.
+         */
         @Override
         void onRosterChanged(List<KnownBackend> listed) {
-            Set<Long> now = new HashSet<>(listed.stream().map(s -> s.id).toList());
-            if (now.equals(members)) {
+            Set<Long> listedIds =
+                    new HashSet<>(listed.stream().map(backend -> backend.id).toList());
+            if (listedIds.equals(members)) {
                 return;
             }
-            members = now;
+            members = listedIds;
             table = new KnownBackend[listed.isEmpty() ? 0 : SLOTS];
-            int[] next = new int[listed.size()];
-            for (int i = 0; i < next.length; i++) {
-                next[i] = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 1), SLOTS);
+            int[] nextSlots = new int[listed.size()];
+            for (int i = 0; i < nextSlots.length; i++) {
+                nextSlots[i] = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 1), SLOTS);
             }
-            for (int filled = 0, i = 0; filled < table.length; filled++, i = (i + 1) % next.length) {
-                int skip = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 2), SLOTS - 1) + 1;
-                while (table[next[i]] != null) {
-                    next[i] = (next[i] + skip) % SLOTS;
+            for (int filled = 0, i = 0; filled < table.length; filled++, i = (i + 1) % nextSlots.length) {
+                int step = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 2), SLOTS - 1) + 1;
+                while (table[nextSlots[i]] != null) {
+                    nextSlots[i] = (nextSlots[i] + step) % SLOTS;
                 }
-                table[next[i]] = listed.get(i);
+                table[nextSlots[i]] = listed.get(i);
             }
         }
 
         @Override
-        KnownBackend pick(Association a, List<KnownBackend> fit) {
-            Set<Long> ids = new HashSet<>();
-            fit.forEach(s -> ids.add(s.id));
-            int slot = (int)
-                    Long.remainderUnsigned(SplitMix64.mix(a.placementKey() != 0 ? a.placementKey() : a.id), SLOTS);
-            while (!ids.contains(table[slot].id)) {
+        KnownBackend pick(Association association, List<KnownBackend> candidates) {
+            Set<Long> candidateIds = new HashSet<>();
+            candidates.forEach(backend -> candidateIds.add(backend.id));
+            int slot = (int) Long.remainderUnsigned(
+                    SplitMix64.mix(association.placementKey() != 0 ? association.placementKey() : association.id),
+                    SLOTS);
+            while (!candidateIds.contains(table[slot].id)) {
                 slot = (slot + 1) % SLOTS;
             }
             return table[slot];
@@ -121,47 +148,76 @@
     }
 
     /**
-     * Sees the true state and gives its dispatches all the time there is, since it knows who answers. Of the sound it
-     * takes the least busy that holds the group already and has room, else the one where the work waits least, with the
-     * queue, the work in hand and the group's price weighed together; a cold one only within half of its budget.
+     * Sees the true state of the backends: a reference for how well placement can do. It considers the backends that
+     * serve and have used less than half of their slow-start budget, or all candidates if there are none. Of those it
+     * takes the least utilized one that already has the group, has spare capacity and a short queue; if there is none,
+     * the one with the lowest {@link #cost}.
      */
     private static final class OraclePolicy extends BaselinePolicy {
-        /** Busier than this none gets more while another has room. */
+        /** From this utilization on a backend has no spare capacity. */
         private static final double MAX_UTILIZATION = 0.6;
 
-        private static final double MS = 1e6, UTILIZATION_COST = 100 * MS, NEW_GROUP_COST = 30 * MS;
+        /** One millisecond in nanoseconds. */
+        private static final double MS = 1e6;
+
+        /** From this queue delay on, in nanoseconds, a backend's queue isn't short. */
+        private static final double MAX_QUEUE_DELAY = 20 * MS;
+
+        /** Backends that have used this share of their slow-start budget get no more while another is healthy. */
+        private static final double MAX_SLOW_START_BUDGET_USED = 0.5;
+
+        /** The cost of a backend's load at 50 % utilization, in nanoseconds of queue delay. */
+        private static final double UTILIZATION_COST = 100 * MS;
+
+        /**
+         * The least idle share in {@link #cost}, which bounds the cost of a backend that is fully utilized or
+         * overloaded.
+         */
+        private static final double MIN_IDLE_SHARE = 0.05;
+
+        /** The cost of placing a group on a backend that doesn't have it yet, in nanoseconds of queue delay. */
+        private static final double NEW_GROUP_COST = 30 * MS;
+
         private final BackendGroundTruth groundTruth;
 
-        OraclePolicy(Map<String, String> ticket, long seed, long now, BackendGroundTruth sight) {
-            super(ticket, seed, now);
-            this.groundTruth = sight;
+        OraclePolicy(Map<String, String> settings, long seed, long now, BackendGroundTruth groundTruth) {
+            super(settings, seed, now);
+            this.groundTruth = groundTruth;
         }
 
+        /**
+         * All the time until the cut-off: the oracle knows which backends answer and has no need of a second attempt.
+         */
         @Override
-        long dispatchTimeout(Association a, long goal, long now) {
-            return a.cutOffAt - now;
+        long dispatchTimeout(Association association, long goalTime, long now) {
+            return association.cutOffAt - now;
         }
 
-        private double cost(Association a, KnownBackend s) {
-            double busy = groundTruth.utilization(s.id);
-            return groundTruth.queueDelay(s.id)
-                    + UTILIZATION_COST * busy / Math.max(0.05, 1 - busy)
-                    + (groundTruth.hasGroup(s.id, a.groupKey) ? 0 : NEW_GROUP_COST);
+        /**
+         * The cost of a dispatch to the backend, in nanoseconds: its queue delay, plus a term that rises with its
+         * utilization u as u / (1 - u), plus a term for a group that is new to it.
+         */
+        private double cost(Association association, KnownBackend backend) {
+            double utilization = groundTruth.utilization(backend.id);
+            return groundTruth.queueDelay(backend.id)
+                    + UTILIZATION_COST * utilization / Math.max(MIN_IDLE_SHARE, 1 - utilization)
+                    + (groundTruth.hasGroup(backend.id, association.groupKey) ? 0 : NEW_GROUP_COST);
         }
 
         @Override
-        KnownBackend pick(Association a, List<KnownBackend> fit) {
-            List<KnownBackend> sound = fit.stream()
-                    .filter(s -> groundTruth.isServing(s.id) && groundTruth.slowStartBudgetUsed(s.id) < 0.5)
+        KnownBackend pick(Association association, List<KnownBackend> candidates) {
+            List<KnownBackend> healthy = candidates.stream()
+                    .filter(backend -> groundTruth.isServing(backend.id)
+                            && groundTruth.slowStartBudgetUsed(backend.id) < MAX_SLOW_START_BUDGET_USED)
                     .toList();
-            List<KnownBackend> from = sound.isEmpty() ? fit : sound;
-            return from.stream()
-                    .filter(s -> groundTruth.hasGroup(s.id, a.groupKey)
-                            && groundTruth.utilization(s.id) < MAX_UTILIZATION
-                            && groundTruth.queueDelay(s.id) < 20 * MS)
-                    .min(Comparator.comparingDouble(s -> groundTruth.utilization(s.id)))
-                    .orElseGet(() -> from.stream()
-                            .min(Comparator.comparingDouble(s -> cost(a, s)))
+            List<KnownBackend> eligible = healthy.isEmpty() ? candidates : healthy;
+            return eligible.stream()
+                    .filter(backend -> groundTruth.hasGroup(backend.id, association.groupKey)
+                            && groundTruth.utilization(backend.id) < MAX_UTILIZATION
+                            && groundTruth.queueDelay(backend.id) < MAX_QUEUE_DELAY)
+                    .min(Comparator.comparingDouble(backend -> groundTruth.utilization(backend.id)))
+                    .orElseGet(() -> eligible.stream()
+                            .min(Comparator.comparingDouble(backend -> cost(association, backend)))
                             .orElseThrow());
         }
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/BackendConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BackendConnection.java
@@ -2,26 +2,42 @@
 
 import ambertrestle.relay.wire.BackendMessage;
 
-/** One connection from a relay to a backend, as the backend has it: in the model or on a socket. */
+/**
+ * The backend's end of one connection from a relay to a backend. The subclass carries the bytes, in virtual time or on
+ * a socket.
+ */
 public abstract class BackendConnection {
+    /** The backend at this end; null before a connection was attempted, and if the address belongs to no backend. */
     protected SimulatedBackend backend;
-    /** The backend's process that holds it. */
+
+    /** The {@link SimulatedBackend#incarnation()} that accepted the connection. */
     protected int backendIncarnation;
-    /** Set once the opening has reached the backend. */
+
+    /**
+     * The client's connection whose opening was sent here. Null until the opening reaches the backend, and for good if
+     * no regular client sent it.
+     */
     ClientConnection client;
 
+    /** The invariant checker's record of the dispatch; null as long as {@link #client} is null. */
     protected InvariantChecker.ObservedDispatch dispatch;
-    /** Let in and not yet over. */
+
+    /** The backend admitted the connection, which holds one of the backend's slots until it ends. */
     boolean admitted;
-    /** Its backend ended it. */
+
+    /** The backend closed or reset the connection. */
     private boolean closedByBackend;
 
+    /** The relay at the other end. */
     protected abstract RelayInstance relay();
 
+    /** Sends a line to the relay. */
     protected abstract void sendLine(BackendMessage line);
 
+    /** Closes the connection from the backend's side, after the lines already sent. */
     protected abstract void doClose();
 
+    /** Resets the connection from the backend's side. */
     protected abstract void doReset();
 
     final void closeByBackend() {
@@ -34,9 +50,9 @@
         doReset();
     }
 
-    /** Its backend still answers on it. */
+    /** Whether the backend still answers on this connection and no partition separates it from the relay. */
     final boolean isResponsive() {
-        Testbed world = relay().testbed;
-        return !closedByBackend && backend.isResponsive() && world.reachableAt(relay(), backend) <= world.now();
+        Testbed testbed = relay().testbed;
+        return !closedByBackend && backend.isResponsive() && testbed.reachableAt(relay(), backend) <= testbed.now();
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
@@ -2,8 +2,12 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A client that sends what none may send, or says nothing; it is owed an error or a close within 3 s. */
+/**
+ * A client that breaks the protocol: it sends an invalid first line, or nothing at all. The relay must answer with an
+ * error or close the connection within {@link #ANSWER_DEADLINE}; if it doesn't, the client is counted as unanswered.
+ */
 final class BadClient extends ClientEndpoint {
+    /** First lines without their CRLF. An empty one means that the client sends nothing. */
     private static final String[] INVALID_REQUESTS = {
         "HELLO",
         "OPEN",
@@ -15,18 +19,28 @@
         "",
         "X".repeat(5000)
     };
+
     static final int INVALID_REQUEST_COUNT = INVALID_REQUESTS.length;
-    private static final long OWED = 3_000_000_000L;
 
-    private final Testbed world;
+    /** How long the relay may take to answer or close, in nanoseconds. */
+    private static final long ANSWER_DEADLINE = 3_000_000_000L;
+
+    /** Time on top of the deadline for the network's latency, in nanoseconds. */
+    private static final long NETWORK_TOLERANCE = 50_000_000L;
+
+    private final Testbed testbed;
     private final RelayInstance relay;
-    private final int kind;
-    private boolean over;
 
-    BadClient(Testbed world, RelayInstance relay, int kind) {
-        this.world = world;
+    /** Index into {@link #INVALID_REQUESTS}. */
+    private final int requestIndex;
+
+    /** The relay has answered, closed or refused the connection, or the deadline has passed. */
+    private boolean finished;
+
+    BadClient(Testbed testbed, RelayInstance relay, int requestIndex) {
+        this.testbed = testbed;
         this.relay = relay;
-        this.kind = kind;
+        this.requestIndex = requestIndex;
     }
 
     void connect() {
@@ -35,18 +49,18 @@
 
     @Override
     long latencyKey() {
-        return kind;
+        return requestIndex;
     }
 
     @Override
     public void onAccepted() {
-        if (!INVALID_REQUESTS[kind].isEmpty()) {
-            relay.send(this, (INVALID_REQUESTS[kind] + "\r\n").getBytes(StandardCharsets.UTF_8));
+        if (!INVALID_REQUESTS[requestIndex].isEmpty()) {
+            relay.send(this, (INVALID_REQUESTS[requestIndex] + "\r\n").getBytes(StandardCharsets.UTF_8));
         }
-        world.scheduler.scheduleAfter(OWED + 50_000_000L, () -> {
-            if (!over) {
-                over = true;
-                world.onBadClientUnanswered();
+        testbed.scheduler.scheduleAfter(ANSWER_DEADLINE + NETWORK_TOLERANCE, () -> {
+            if (!finished) {
+                finished = true;
+                testbed.onBadClientUnanswered();
                 relay.end(this);
             }
         });
@@ -54,26 +68,27 @@
 
     @Override
     public void onRefused() {
-        over = true;
+        finished = true;
     }
 
+    /** Accepts ERR, BUSY and BYE as an answer. */
     @Override
     public void onLine(byte[] raw) {
-        over |= raw[0] == 'E' || raw[0] == 'B';
+        finished |= raw[0] == 'E' || raw[0] == 'B';
     }
 
     @Override
     public void onClosed(boolean reset) {
-        over = true;
+        finished = true;
     }
 
     @Override
     public void onRelayKilled() {
-        over = true;
+        finished = true;
     }
 
     @Override
     public void onRelayShutdown() {
-        over = true;
+        finished = true;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
@@ -4,43 +4,64 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 
-/** One connection of a client to a relay, and its one association. */
+/**
+ * One connection of a client to a relay, with its one association. Sends the opening, then lines at the use case's
+ * interval once it is established, and reports what it observes to the invariant checker, the metrics and its session.
+ */
 public final class ClientConnection extends ClientEndpoint {
     private enum Stage {
+        /** No final answer yet; also while it is being connected. */
         WAITING,
+        /** The client got UP. */
         ESTABLISHED,
         CLOSED
     }
 
+    /** The line that every established client sends; {@link SimulatedRelay} recognizes it by this array's identity. */
     static final byte[] LINE_MESSAGE = "L\r\n".getBytes(StandardCharsets.UTF_8);
 
+    /** Length of "BUSY ", after which a BUSY line names the milliseconds until a retry is welcome. */
+    private static final int BUSY_PREFIX_LENGTH = 5;
+
+    /** One millisecond in nanoseconds. */
+    private static final long MS = 1_000_000L;
+
     final ClientSession session;
     final InvariantChecker.ObservedAssociation association;
-    private final Testbed world;
+    private final Testbed testbed;
+
+    /** The client was connected before and comes back: `again=1` in the opening. */
     private final boolean returning;
+
+    /** An earlier attempt of the session was shed or failed: `r=1` in the opening. */
     private final boolean retry;
+
+    /** Null before {@link #connect}, and if no relay was available. */
     private RelayInstance relay;
-    /** Where it is up. */
+
+    /** The connection at the backend that established this one; null before that. */
     BackendConnection backendConnection;
 
     private Stage stage = Stage.WAITING;
-    private boolean saidBye;
-    private boolean saidMove;
-    /** When the lines were due that no answer came to yet. */
-    private ArrayDeque<Long> unanswered;
-
-    ClientConnection(ClientSession visit, boolean returning, boolean retry) {
-        this.session = visit;
-        this.world = visit.testbed;
+    private boolean byeReceived;
+    private boolean moveReceived;
+
+    /** When the lines without a reply were due, in nanoseconds, oldest first; null before the first line. */
+    private ArrayDeque<Long> unansweredLineDueTimes;
+
+    ClientConnection(ClientSession session, boolean returning, boolean retry) {
+        this.session = session;
+        this.testbed = session.testbed;
         this.returning = returning;
         this.retry = retry;
-        association = new InvariantChecker.ObservedAssociation(world.nextAssociationId(), visit.useCase);
+        association = new InvariantChecker.ObservedAssociation(testbed.nextAssociationId(), session.useCase);
     }
 
+    /** Connects to a relay that the front-end load balancer selects. */
     void connect() {
-        world.registerConnection(this);
-        world.adjustWaitingClients(1);
-        relay = world.selectRelay();
+        testbed.registerConnection(this);
+        testbed.adjustWaitingClients(1);
+        relay = testbed.selectRelay();
         if (relay == null) {
             onRefused();
             return;
@@ -55,7 +76,7 @@
 
     @Override
     public void onRefused() {
-        enter(Stage.CLOSED);
+        transitionTo(Stage.CLOSED);
         session.onRefused();
     }
 
@@ -63,19 +84,19 @@
     public void onAccepted() {
         String line = "OPEN " + Long.toHexString(association.id) + " " + Long.toHexString(session.clientId) + " c="
                 + session.useCase.name()
-                + ",t=t,d=" + session.useCase.cutOff() / 1_000_000
+                + ",t=t,d=" + session.useCase.cutOff() / MS
                 + (session.group != 0 ? ",g=" + Long.toHexString(session.group) : "")
                 + (retry ? ",r=1" : "") + (returning ? ",again=1" : "") + "\r\n";
         relay.send(this, line.getBytes(StandardCharsets.UTF_8));
-        world.scheduler.scheduleAfter(session.useCase.cutOff(), this::patienceUp);
+        testbed.scheduler.scheduleAfter(session.useCase.cutOff(), this::onCutOff);
     }
 
-    /** The client's time is up: it leaves. */
-    private void patienceUp() {
+    /** The use case's cut-off has passed: a client that still waits for its answer gives up. */
+    private void onCutOff() {
         if (stage == Stage.WAITING) {
-            world.metrics.add(Series.UNANSWERED, 1, world.now());
-            world.invariantChecker.onEndWithoutAnswer(association, "nothing within its time", world.now());
-            over();
+            testbed.metrics.add(Series.UNANSWERED, 1, testbed.now());
+            testbed.invariantChecker.onEndWithoutAnswer(association, "nothing within its time", testbed.now());
+            markClosed();
             relay.end(this);
             session.onFailed();
         }
@@ -89,113 +110,129 @@
         return stage == Stage.ESTABLISHED;
     }
 
-    private void enter(Stage next) {
-        world.adjustWaitingClients(stage == Stage.WAITING ? -1 : 0);
-        stage = next;
+    private void transitionTo(Stage newStage) {
+        testbed.adjustWaitingClients(stage == Stage.WAITING ? -1 : 0);
+        stage = newStage;
     }
 
-    private void over() {
-        enter(Stage.CLOSED);
+    private void markClosed() {
+        transitionTo(Stage.CLOSED);
     }
 
-    // ---- from the relay
+    // ---- calls from the relay
 
+    /** Reads UP, BUSY or ERR as the final answer, and leaves lines after UP to {@link #onEstablishedLine}. */
     @Override
     public void onLine(byte[] raw) {
         if (stage == Stage.CLOSED) {
-            if (association.finalAnswers > 0 && !saidMove && !saidBye) {
-                world.invariantChecker.onLineAfterFinalAnswer(association, world.now());
+            if (association.finalAnswers > 0 && !moveReceived && !byeReceived) {
+                testbed.invariantChecker.onLineAfterFinalAnswer(association, testbed.now());
             }
             return;
         }
         char first = (char) raw[0];
         if (stage == Stage.ESTABLISHED) {
-            up(raw, first);
+            onEstablishedLine(raw, first);
             return;
         }
         boolean shed = first == 'B';
-        world.invariantChecker.onFinalAnswer(association, shed, world.now());
+        testbed.invariantChecker.onFinalAnswer(association, shed, testbed.now());
         if (first == 'U') {
-            enter(Stage.ESTABLISHED);
+            transitionTo(Stage.ESTABLISHED);
             session.onEstablished();
             relay.onClientEstablished();
-            nextLine(world.now() + session.useCase.lineInterval());
+            scheduleNextLine(testbed.now() + session.useCase.lineInterval());
         } else if (shed) {
-            world.metrics.add(Series.SHED, 1, world.now());
-            over();
+            testbed.metrics.add(Series.SHED, 1, testbed.now());
+            markClosed();
             String text = new String(raw, StandardCharsets.US_ASCII).strip();
-            session.onShed(text.length() > 5 ? Long.parseLong(text.substring(5)) * 1_000_000 : 0);
+            session.onShed(
+                    text.length() > BUSY_PREFIX_LENGTH ? Long.parseLong(text.substring(BUSY_PREFIX_LENGTH)) * MS : 0);
         } else {
-            world.metrics.add(Series.FORFEITED, 1, world.now());
-            over();
+            testbed.metrics.add(Series.FORFEITED, 1, testbed.now());
+            markClosed();
             session.onFailed();
         }
     }
 
-    private void up(byte[] raw, char first) {
+    /**
+     * Reads a line of an established connection: a backend's reply, MOVE or BYE. Replies come in the order of the
+     * client's lines. A reply without an outstanding line counts as on time.
+     */
+    private void onEstablishedLine(byte[] raw, char first) {
         if (first == 'R') {
-            long due = unanswered == null || unanswered.isEmpty() ? world.now() : unanswered.poll();
-            long took = world.now() - due;
-            world.metrics.recordLatency(world.metrics.lineLatency, took, world.now());
-            world.metrics.add(Series.LINES, 1, world.now());
-            if (took <= session.useCase.lineGoalTime()) {
-                world.metrics.add(Series.BENEFIT, session.useCase.lineBenefit(), world.now());
+            long due = unansweredLineDueTimes == null || unansweredLineDueTimes.isEmpty()
+                    ? testbed.now()
+                    : unansweredLineDueTimes.poll();
+            long latency = testbed.now() - due;
+            testbed.metrics.recordLatency(testbed.metrics.lineLatency, latency, testbed.now());
+            testbed.metrics.add(Series.LINES, 1, testbed.now());
+            if (latency <= session.useCase.lineGoalTime()) {
+                testbed.metrics.add(Series.BENEFIT, session.useCase.lineBenefit(), testbed.now());
             } else {
-                world.metrics.add(Series.LATE_LINES, 1, world.now());
+                testbed.metrics.add(Series.LATE_LINES, 1, testbed.now());
             }
         } else if (first == 'M') {
-            saidMove = true;
+            moveReceived = true;
         } else if (first == 'B' && raw[1] == 'Y') {
-            saidBye = true;
+            byeReceived = true;
         }
     }
 
-    private void nextLine(long due) {
-        world.scheduler.scheduleAt(due, () -> {
+    /**
+     * Sends the next line at `due`, and so on every interval. The client doesn't wait for replies, so a slow backend
+     * gets no fewer lines.
+     */
+    private void scheduleNextLine(long due) {
+        testbed.scheduler.scheduleAt(due, () -> {
             if (stage == Stage.ESTABLISHED) {
-                if (unanswered == null) {
-                    unanswered = new ArrayDeque<>(2);
+                if (unansweredLineDueTimes == null) {
+                    unansweredLineDueTimes = new ArrayDeque<>(2);
                 }
-                unanswered.add(due);
+                unansweredLineDueTimes.add(due);
                 relay.send(this, LINE_MESSAGE);
-                nextLine(due + session.useCase.lineInterval());
+                scheduleNextLine(due + session.useCase.lineInterval());
             }
         });
     }
 
+    /**
+     * A connection closed without an answer violates an invariant. So does an established one that ends without BYE or
+     * MOVE while its backend still answers, because then the relay has cut it off.
+     */
     @Override
     public void onClosed(boolean reset) {
         if (stage == Stage.CLOSED) {
             return;
         }
-        boolean wasUp = stage == Stage.ESTABLISHED;
-        over();
+        boolean wasEstablished = stage == Stage.ESTABLISHED;
+        markClosed();
         if (!reset) {
             relay.end(this);
         }
-        if (!wasUp) {
-            world.invariantChecker.onEndWithoutAnswer(association, "closed with no answer", world.now());
-            world.metrics.add(Series.UNANSWERED, 1, world.now());
+        if (!wasEstablished) {
+            testbed.invariantChecker.onEndWithoutAnswer(association, "closed with no answer", testbed.now());
+            testbed.metrics.add(Series.UNANSWERED, 1, testbed.now());
             session.onFailed();
-        } else if (saidBye) {
-            world.metrics.add(Series.DONE, 1, world.now());
+        } else if (byeReceived) {
+            testbed.metrics.add(Series.DONE, 1, testbed.now());
         } else {
-            if (!saidMove && backendConnection != null && backendConnection.isResponsive()) {
-                world.invariantChecker.onUnexpectedClose(association, world.now());
+            if (!moveReceived && backendConnection != null && backendConnection.isResponsive()) {
+                testbed.invariantChecker.onUnexpectedClose(association, testbed.now());
             }
-            world.metrics.add(saidMove ? Series.MOVED : Series.BROKEN, 1, world.now());
+            testbed.metrics.add(moveReceived ? Series.MOVED : Series.BROKEN, 1, testbed.now());
             session.onDisconnected();
         }
     }
 
-    /** Nobody owes anything. */
+    /** Not reported as a violation: a killed relay can neither answer nor keep its connections. */
     @Override
     public void onRelayKilled() {
         if (stage != Stage.CLOSED) {
-            boolean wasUp = stage == Stage.ESTABLISHED;
-            over();
-            world.metrics.add(wasUp ? Series.BROKEN : Series.UNANSWERED, 1, world.now());
-            if (wasUp) {
+            boolean wasEstablished = stage == Stage.ESTABLISHED;
+            markClosed();
+            testbed.metrics.add(wasEstablished ? Series.BROKEN : Series.UNANSWERED, 1, testbed.now());
+            if (wasEstablished) {
                 session.onDisconnected();
             } else {
                 session.onFailed();
@@ -203,14 +240,17 @@
         }
     }
 
-    /** Lost. */
+    /**
+     * A violation: before a planned restart a relay must answer its waiting clients and send the established ones away
+     * with MOVE.
+     */
     @Override
     public void onRelayShutdown() {
         if (stage == Stage.ESTABLISHED) {
-            world.invariantChecker.onUnexpectedClose(association, world.now());
+            testbed.invariantChecker.onUnexpectedClose(association, testbed.now());
         } else if (stage == Stage.WAITING) {
-            world.invariantChecker.onEndWithoutAnswer(
-                    association, "held at the end of its relay's process", world.now());
+            testbed.invariantChecker.onEndWithoutAnswer(
+                    association, "held at the end of its relay's process", testbed.now());
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientEndpoint.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientEndpoint.java
@@ -1,32 +1,37 @@
 package ambertrestle.lab.simulation;
 
-/** A client's end of a connection to a relay, as the relay's machine knows it. */
+/**
+ * The client's end of a connection to a relay. {@link RelayInstance} calls it when something arrives at the client; the
+ * package-visible fields are the simulated relay's own record of the connection.
+ */
 public abstract class ClientEndpoint {
-    /** Its number at the relay's machine and the start of the relay that holds it: kept here for the relay's side. */
+    /** The relay's number of the accepted socket; 0 before it is accepted. Set by {@link SimulatedRelay} alone. */
     long socket;
 
+    /** The {@link SimulatedRelay#incarnation} that accepted the connection. */
     int relayIncarnation;
-    /** How long a message takes one way, in the model. */
+
+    /** Latency of a message in one direction, in nanoseconds. Set by {@link SimulatedRelay} alone. */
     long oneWayLatency;
 
-    /** The key that it goes by. */
+    /** The key from which the simulated latency between this client and a relay is derived. */
     abstract long latencyKey();
 
-    /** The relay's machine took the connection. */
+    /** The relay accepted the connection. */
     public abstract void onAccepted();
 
-    /** Nobody listens there. */
+    /** The relay refused the connection because its process isn't listening. */
     public abstract void onRefused();
 
-    /** A line from the relay. */
+    /** A line from the relay; `raw` is never empty. */
     public abstract void onLine(byte[] raw);
 
-    /** The relay ended or reset the connection. */
+    /** The relay closed the connection, or reset it. */
     public abstract void onClosed(boolean reset);
 
-    /** The relay's process was killed by the platform. */
+    /** The relay's process was killed while the connection was open. */
     public abstract void onRelayKilled();
 
-    /** The relay's process ends as planned with this still open. */
+    /** The relay's process ends in a planned restart although the connection is still open. */
     public abstract void onRelayShutdown();
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
@@ -4,38 +4,49 @@
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.List;
 
-/** One relay as clients, backends and troubles see it: in the model or as a process. */
+/** One relay as clients, backends and injected faults see it: simulated, or a process of its own. */
 public abstract class RelayInstance {
     protected final Testbed testbed;
+
+    /** The relay's index in the run, from 0. */
     public final int number;
+
     public final String name;
-    /** Its process runs. */
+
+    /** The relay's process runs and accepts connections. */
     protected boolean running;
-    /** When it was last started, or -1 once something was up through it since. */
+
+    /** When the relay was last restarted; -1 before a restart, and once a client has been connected since. */
     private long restartedAt = -1;
 
-    protected RelayInstance(Testbed world, int number) {
-        this.testbed = world;
+    protected RelayInstance(Testbed testbed, int number) {
+        this.testbed = testbed;
         this.number = number;
         this.name = "relay-" + number;
     }
 
-    /** The list in its configuration at that start, the first being 1; `heard`: as it last had it. */
-    protected final RosterMessage startupRoster(int start, DeliveredRoster heard) {
-        return switch (start == 1
+    /**
+     * The roster in the relay's configuration at a start, as the scenario's {@link Scenario.RestartRoster} has it.
+     *
+     * @param incarnation 1 at the first start, which always gets the roster last delivered; greater afterwards
+     * @param deliveredRoster the roster as this relay last received it
+     */
+    protected final RosterMessage startupRoster(int incarnation, DeliveredRoster deliveredRoster) {
+        return switch (incarnation == 1
                 ? Scenario.RestartRoster.LAST
                 : testbed.scenario.relays().restartRoster()) {
-            case LAST -> heard.snapshot();
+            case LAST -> deliveredRoster.snapshot();
             case FIRST -> testbed.initialRoster();
             case NONE -> new RosterMessage(0, true, List.of());
         };
     }
 
+    /** Starts measuring the time from this restart to the first established client. */
     protected final void recordRestart() {
         restartedAt = testbed.now();
     }
 
-    /** A client of it is up. */
+    /** A client of this relay got its UP. */
     final void onClientEstablished() {
         if (restartedAt >= 0) {
             testbed.onFirstClientEstablished(this, testbed.now() - restartedAt);
@@ -43,21 +54,21 @@
         }
     }
 
-    /** Starts it, or again after a kill with the roster as it last had it; `ready` once it serves. */
+    /** Starts the relay, also after it was killed or stopped, and runs `ready` once it accepts connections. */
     protected abstract void start(Runnable ready);
 
-    /** A kill: what it held is reset, and it answers nothing until it starts again. */
+    /** Kills the relay: its connections are lost, and it accepts none until it is started again. */
     protected abstract void kill();
 
-    /** A planned restart: told to stop, killed 4 s later if it is still there. */
+    /** Asks the relay to shut down, for a planned restart; kills it if it still runs 4 s later. */
     protected abstract void requestStop();
 
-    /** Connects a client, which is told that it is accepted or refused. */
+    /** Connects a client, and then notifies it whether it was accepted or refused. */
     protected abstract void connect(ClientEndpoint client);
 
-    /** Sends what the client says; a line has its end. */
+    /** Sends the client's bytes to the relay; a line includes its CRLF. */
     protected abstract void send(ClientEndpoint client, byte[] raw);
 
-    /** The client ends its connection. */
+    /** The client closes its connection to the relay. */
     protected abstract void end(ClientEndpoint client);
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackendConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackendConnection.java
@@ -3,81 +3,96 @@
 import ambertrestle.relay.wire.BackendMessage;
 
 /**
- * One connection from a relay to a backend in the model, both ends. What a partition holds up comes, in order, when it
- * is over.
+ * Both ends of one simulated connection from a relay to a backend. Messages that a partition holds back are delivered
+ * in order when the partition ends.
  */
 final class SimulatedBackendConnection extends BackendConnection {
+    /** The connection's state as the relay sees it. */
     private enum Stage {
         CONNECTING,
+        /** The relay closed it while it was still connecting. */
         ABANDONED,
         CONNECTED,
         CLOSED
     }
 
     final SimulatedRelay relay;
+
+    /** The {@link SimulatedRelay#incarnation} that opened the connection. */
     final int relayIncarnation;
+
+    /** The relay's number of the socket, below 0. */
     final long socket;
-    private final byte[] opening;
+
+    /** The opening, which is sent as soon as the connection is up. */
+    private final byte[] openRequest;
+
     private Stage stage = Stage.CONNECTING;
-    private long way;
-    private boolean wasReset;
 
-    SimulatedBackendConnection(SimulatedRelay relay, long socket, byte[] opening) {
+    /** Latency of a message in one direction, in nanoseconds. */
+    private long oneWayLatency;
+
+    private boolean resetByRelay;
+
+    SimulatedBackendConnection(SimulatedRelay relay, long socket, byte[] openRequest) {
         this.relay = relay;
         this.relayIncarnation = relay.incarnation;
         this.socket = socket;
-        this.opening = opening;
+        this.openRequest = openRequest;
     }
 
-    private SimulatedTestbed world() {
-        return relay.model();
+    private SimulatedTestbed testbed() {
+        return relay.simulatedTestbed();
     }
 
-    private void later(Runnable thing) {
-        world().scheduler.scheduleAt(world().reachableAt(relay, backend) + way, thing);
+    /** Runs `delivery` after the one-way latency, counted from the end of the partition if there is one. */
+    private void scheduleDelivery(Runnable delivery) {
+        testbed().scheduler.scheduleAt(testbed().reachableAt(relay, backend) + oneWayLatency, delivery);
     }
 
+    /** Connects to the backend of that address; an unknown address is refused at once. */
     void connect(String address) {
-        backend = world().findBackend(address);
+        backend = testbed().findBackend(address);
         if (backend == null) {
-            world().scheduler.scheduleAfter(1, () -> refused());
+            testbed().scheduler.scheduleAfter(1, () -> onRefused());
             return;
         }
-        way = world().oneWayLatency(relay.number, backend.number);
-        later(() -> {
+        oneWayLatency = testbed().oneWayLatency(relay.number, backend.number);
+        scheduleDelivery(() -> {
             if (backend.isListening()) {
-                int there = backend.incarnation();
-                later(() -> cameUp(there));
+                int acceptedBy = backend.incarnation();
+                scheduleDelivery(() -> onAccepted(acceptedBy));
             } else {
-                later(this::refused);
+                scheduleDelivery(this::onRefused);
             }
         });
     }
 
-    private void refused() {
+    private void onRefused() {
         stage = Stage.CLOSED;
         relay.onBackendClosed(this, true);
     }
 
-    private void cameUp(int there) {
+    /** The relay learns that the connection is up; `acceptedBy` is the backend's incarnation that accepted it. */
+    private void onAccepted(int acceptedBy) {
         if (stage == Stage.ABANDONED) {
-            // As the daemon: a connection that nobody waits for any more carries nothing.
+            // Like the daemon, sends nothing on a connection that was given up while it was being set up.
             stage = Stage.CLOSED;
             relay.onBackendClosed(this, false);
             return;
         }
-        if (backend.incarnation() != there) {
-            refused();
+        if (backend.incarnation() != acceptedBy) {
+            onRefused();
             return;
         }
         stage = Stage.CONNECTED;
         backend.onConnected(this);
         relay.onBackendConnected(this);
-        boolean heldUp = world().reachableAt(relay, backend) > world().now();
-        later(() -> {
-            // A reset throws away what the network still holds; what a close leaves behind still comes.
-            if (!heldUp || !wasReset) {
-                backend.onOpenRequest(this, opening);
+        boolean heldBack = testbed().reachableAt(relay, backend) > testbed().now();
+        scheduleDelivery(() -> {
+            // A reset discards the data that a partition still holds back; after a close that data still arrives.
+            if (!heldBack || !resetByRelay) {
+                backend.onOpenRequest(this, openRequest);
             }
         });
     }
@@ -86,19 +101,22 @@
         return backend;
     }
 
-    /** A line that the relay passed on. */
+    /** The relay forwards one of the client's lines. */
     void forwardLine() {
-        later(() -> backend.onLine(this));
+        scheduleDelivery(() -> backend.onLine(this));
     }
 
-    /** The relay ends its sending. */
+    /** The relay shuts down its sending direction. */
     void shutdownOutput() {
-        later(() -> backend.onClientEnded(this));
+        scheduleDelivery(() -> backend.onClientEnded(this));
     }
 
-    /** The relay closes or resets it; true when it is given back at once. */
+    /**
+     * The relay closes or resets the connection. True if the socket is released at once; false if the connection is
+     * still being set up, which releases it later, or is closed already.
+     */
     boolean closeByRelay(boolean reset) {
-        wasReset = reset;
+        resetByRelay = reset;
         if (stage == Stage.CONNECTING) {
             stage = Stage.ABANDONED;
             return false;
@@ -110,7 +128,7 @@
         if (dispatch != null) {
             dispatch.markEnded();
         }
-        later(() -> backend.onClosed(this));
+        scheduleDelivery(() -> backend.onClosed(this));
         return true;
     }
 
@@ -120,7 +138,7 @@
             if (dispatch != null) {
                 dispatch.markEnded();
             }
-            later(() -> backend.onClosed(this));
+            scheduleDelivery(() -> backend.onClosed(this));
         } else if (stage == Stage.CONNECTING) {
             stage = Stage.ABANDONED;
         }
@@ -131,21 +149,21 @@
         return relay;
     }
 
-    // ---- from the backend
+    // ---- calls from the backend
 
     @Override
     protected void sendLine(BackendMessage line) {
-        later(() -> relay.onBackendLine(this, line));
+        scheduleDelivery(() -> relay.onBackendLine(this, line));
     }
 
     @Override
     protected void doClose() {
-        later(() -> relay.onBackendEnded(this));
+        scheduleDelivery(() -> relay.onBackendEnded(this));
     }
 
     @Override
     protected void doReset() {
-        later(() -> {
+        scheduleDelivery(() -> {
             if (stage == Stage.CONNECTED) {
                 stage = Stage.CLOSED;
                 if (dispatch != null) {
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
@@ -17,47 +17,94 @@
 import java.util.List;
 import java.util.Map;
 
-/** One relay: the real reducer with its decisions, and what life and sockets do for it, in virtual time. */
+/**
+ * One relay in virtual time: the real reducer with the policy's decisions, and in place of the daemon's event loop,
+ * sockets, roster watch and state file their simulated counterparts. Executes the reducer's effects and feeds it the
+ * events that follow from them.
+ */
 final class SimulatedRelay extends RelayInstance {
+    /** One millisecond in nanoseconds. */
     private static final long MS = 1_000_000L;
-    /** A longer line is none. */
+
+    /** Bytes of the longest line a client may send, CRLF included; a longer one is a framing error. */
     private static final int MAX_LINE_LENGTH = 4096;
 
     private static final String ROSTER_ADDRESS = "roster:1";
-    /** A list heard no longer ago stands as it is; the daemon's default. */
+
+    /**
+     * A restored roster that the roster service confirmed no longer ago than this is used as current, in nanoseconds;
+     * an older one counts as stale. The daemon's default.
+     */
     private static final long ROSTER_FRESHNESS = 2_000 * MS;
 
-    private static final ClientMessage LINE = new ClientMessage.Payload(ClientConnection.LINE_MESSAGE);
+    /** After this long a relay that was asked to stop is killed, in nanoseconds. */
+    private static final long STOP_TIMEOUT = 4_000 * MS;
+
+    /** From the reducer's {@link Effect.Stop} to the end of the process, in nanoseconds. */
+    private static final long EXIT_DELAY = 200 * MS;
+
+    /** The time for other events between two parts of the learned state, in nanoseconds. */
+    private static final long PERSIST_PART_INTERVAL = MS;
+
+    /** {@link ClientConnection#LINE_MESSAGE} decoded once, because nearly all of the clients' lines are this one. */
+    private static final ClientMessage DECODED_LINE_MESSAGE = new ClientMessage.Payload(ClientConnection.LINE_MESSAGE);
 
-    private final SimulatedTestbed model;
-    /** Counts its starts; what was meant for an earlier one finds nobody. */
+    private final SimulatedTestbed simulatedTestbed;
+
+    /**
+     * Goes up with every start and every kill, so that callbacks scheduled for an earlier process are recognized and
+     * dropped.
+     */
     int incarnation;
-    /** Told to stop; ends by itself or is killed. */
+
+    /** The relay was asked to stop; it exits by itself or is killed after {@link #STOP_TIMEOUT}. */
     private boolean stopping;
 
     private SimulatedTestbed.RelayStateMachine stateMachine;
+
+    /** Goes up with every timer that is set, because a new timer replaces the one before. */
     private long timerGeneration;
-    private long accepted;
+
+    /** Number of the client socket accepted last in this process; the first is 1. */
+    private long lastClientSocket;
+
     private final Map<Long, ClientEndpoint> clients = new LinkedHashMap<>();
     private final Map<Long, SimulatedBackendConnection> backendConnections = new LinkedHashMap<>();
+
+    /** The roster as delivered to this relay, over all of its processes. */
     private final DeliveredRoster roster = new DeliveredRoster();
+
+    /** Goes up with every watch and when one ends, so that messages to an earlier watch are dropped. */
     private long watchGeneration;
+
+    /** Null while the roster isn't watched. */
     private RosterWatch rosterWatch;
-    /** Its folder: what it kept, taken whole at an instant; null before it kept anything. */
+
+    /**
+     * The newest state file, which outlives the process; null before the first one. It is replaced in one step, so a
+     * kill never leaves half a file.
+     */
     private byte[] stateFile;
 
-    private SnapshotBuilder mirror;
-    private StateChanges hand;
-    private long listHeardAt;
-    private boolean heardOnce;
+    /** What the next state file is built from; null if the scenario persists no state. */
+    private SnapshotBuilder snapshotBuilder;
+
+    /** Changes since the last state file; null if the scenario persists no state. */
+    private StateChanges pendingChanges;
+
+    /** When the roster service last confirmed the roster, for the state file; 0 if unknown. */
+    private long rosterConfirmedAt;
+
+    /** This process has received a roster from the roster service. */
+    private boolean rosterReceived;
 
-    SimulatedRelay(SimulatedTestbed model, int number) {
-        super(model, number);
-        this.model = model;
+    SimulatedRelay(SimulatedTestbed testbed, int number) {
+        super(testbed, number);
+        this.simulatedTestbed = testbed;
     }
 
-    SimulatedTestbed model() {
-        return model;
+    SimulatedTestbed simulatedTestbed() {
+        return simulatedTestbed;
     }
 
     @Override
@@ -65,12 +112,12 @@
         incarnation++;
         running = true;
         stopping = false;
-        accepted = 0;
-        heardOnce = false;
+        lastClientSocket = 0;
+        rosterReceived = false;
         if (roster.isUninitialized()) {
             roster.apply(testbed.rosterService.fullRoster(), testbed.now());
         }
-        stateMachine = model.newStateMachine(beginning());
+        stateMachine = simulatedTestbed.newStateMachine(recoverInitialState());
         if (incarnation > 1) {
             recordRestart();
         }
@@ -81,194 +128,221 @@
         ready.run();
     }
 
-    private InitialState beginning() {
-        RosterMessage known = startupRoster(incarnation, roster);
+    /** The state that the reducer starts with: from the configuration's roster and the state file, if there is one. */
+    private InitialState recoverInitialState() {
+        RosterMessage configuredRoster = startupRoster(incarnation, roster);
         if (!testbed.scenario.relays().persistsState()) {
-            return InitialState.fromConfiguration(known);
+            return InitialState.fromConfiguration(configuredRoster);
         }
         try {
-            InitialState beginning = Recovery.recover(
-                    known,
+            InitialState initialState = Recovery.recover(
+                    configuredRoster,
                     stateFile == null ? null : StateFileCodec.decode(stateFile),
                     ROSTER_ADDRESS,
                     ROSTER_FRESHNESS,
                     testbed.now());
-            mirror = new SnapshotBuilder(name);
-            mirror.setInitialRoster(ROSTER_ADDRESS, beginning.rosterConfirmedAt(), beginning.roster());
-            hand = new StateChanges();
-            listHeardAt = beginning.rosterConfirmedAt();
-            return beginning;
+            snapshotBuilder = new SnapshotBuilder(name);
+            snapshotBuilder.setInitialRoster(ROSTER_ADDRESS, initialState.rosterConfirmedAt(), initialState.roster());
+            pendingChanges = new StateChanges();
+            rosterConfirmedAt = initialState.rosterConfirmedAt();
+            return initialState;
         } catch (StateFileCodec.RejectedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** As the daemon's: twice an interval, in parts, each with the time between that the loop gets. */
-    private void persistPeriodically(int mine) {
-        if (running && incarnation == mine) {
+    /**
+     * Asks the reducer for its learned state twice per persist interval, as the daemon does. {@link #persist} asks for
+     * the remaining parts, if there are more.
+     */
+    private void persistPeriodically(int forIncarnation) {
+        if (running && incarnation == forIncarnation) {
             apply(new Event.LearnedStateRequested());
             testbed.scheduler.scheduleAfter(
-                    testbed.scenario.relays().persistInterval() / 2, () -> persistPeriodically(mine));
+                    testbed.scenario.relays().persistInterval() / 2, () -> persistPeriodically(forIncarnation));
         }
     }
 
-    private void persist(Effect.PersistLearnedState keep) {
-        hand.add(keep.part());
-        int mine = incarnation;
-        if (keep.part().hasMore()) {
-            testbed.scheduler.scheduleAfter(MS, () -> {
-                if (running && incarnation == mine) {
+    /** Collects a part of the learned state and asks for the next one. Writes the state file after the last part. */
+    private void persist(Effect.PersistLearnedState effect) {
+        pendingChanges.add(effect.part());
+        int currentIncarnation = incarnation;
+        if (effect.part().hasMore()) {
+            testbed.scheduler.scheduleAfter(PERSIST_PART_INTERVAL, () -> {
+                if (running && incarnation == currentIncarnation) {
                     apply(new Event.LearnedStateRequested());
                 }
             });
             return;
         }
-        // An empty line that says that the list stands comes every 2 s; the model leaves it out.
-        listHeardAt = rosterWatch != null && heardOnce && testbed.rosterService.failureMode() == null
+        // The real roster service confirms an unchanged roster with an empty line every 2 s. These lines are not
+        // simulated, so a watch on a working service counts as a confirmation.
+        rosterConfirmedAt = rosterWatch != null && rosterReceived && testbed.rosterService.failureMode() == null
                 ? testbed.now()
-                : listHeardAt;
-        hand.applyTo(mirror);
-        hand = new StateChanges();
-        mirror.onRosterConfirmed(ROSTER_ADDRESS, listHeardAt);
-        stateFile = StateFileCodec.encode(mirror.build(testbed.now()));
+                : rosterConfirmedAt;
+        pendingChanges.applyTo(snapshotBuilder);
+        pendingChanges = new StateChanges();
+        snapshotBuilder.onRosterConfirmed(ROSTER_ADDRESS, rosterConfirmedAt);
+        stateFile = StateFileCodec.encode(snapshotBuilder.build(testbed.now()));
     }
 
+    /** When this relay was notified that the backend drains or is gone; -1 if it wasn't. */
     long drainNotifiedAt(String backend) {
         return roster.drainNotifiedAt(backend);
     }
 
+    /** Clients and backends learn of it after the network's latency. */
     @Override
     protected void kill() {
         running = false;
         incarnation++;
         watchGeneration++;
         unwatch();
-        List<ClientEndpoint> left = new ArrayList<>(clients.values());
-        List<SimulatedBackendConnection> right = new ArrayList<>(backendConnections.values());
+        List<ClientEndpoint> lostClients = new ArrayList<>(clients.values());
+        List<SimulatedBackendConnection> lostBackendConnections = new ArrayList<>(backendConnections.values());
         clients.clear();
         backendConnections.clear();
-        left.forEach(l -> testbed.scheduler.scheduleAfter(l.oneWayLatency, () -> l.onRelayKilled()));
-        right.forEach(l -> l.onRelayKilled());
+        lostClients.forEach(
+                client -> testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> client.onRelayKilled()));
+        lostBackendConnections.forEach(connection -> connection.onRelayKilled());
     }
 
     @Override
     protected void requestStop() {
         if (running && !stopping) {
             stopping = true;
-            int mine = incarnation;
-            testbed.scheduler.scheduleAfter(4_000 * MS, () -> terminate(mine));
+            int currentIncarnation = incarnation;
+            testbed.scheduler.scheduleAfter(STOP_TIMEOUT, () -> terminate(currentIncarnation));
             apply(new Event.ShutdownRequested());
         }
     }
 
-    /** The platform's kill, or its own end: what is still open is cut off. */
-    private void terminate(int mine) {
-        if (running && incarnation == mine) {
+    /**
+     * Ends the process of a planned restart, after its shutdown or because the shutdown took too long. Connections that
+     * are still open are reported as violations and lost.
+     */
+    private void terminate(int forIncarnation) {
+        if (running && incarnation == forIncarnation) {
             clients.values().forEach(ClientEndpoint::onRelayShutdown);
             kill();
         }
     }
 
-    // ---- what happens to it
+    // ---- events from clients, backends and the roster service
 
     @Override
-    protected void connect(ClientEndpoint link) {
-        link.oneWayLatency = model.clientLatency(number, link.latencyKey());
-        testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> {
-            boolean taken = running;
-            if (taken) {
-                link.socket = ++accepted;
-                link.relayIncarnation = incarnation;
-                clients.put(link.socket, link);
-                onNetworkEvent(new NetworkEvent.ClientAccepted(link.socket));
+    protected void connect(ClientEndpoint client) {
+        client.oneWayLatency = simulatedTestbed.clientLatency(number, client.latencyKey());
+        testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> {
+            boolean accepted = running;
+            if (accepted) {
+                client.socket = ++lastClientSocket;
+                client.relayIncarnation = incarnation;
+                clients.put(client.socket, client);
+                onNetworkEvent(new NetworkEvent.ClientAccepted(client.socket));
             }
-            testbed.scheduler.scheduleAfter(link.oneWayLatency, taken ? link::onAccepted : link::onRefused);
+            testbed.scheduler.scheduleAfter(client.oneWayLatency, accepted ? client::onAccepted : client::onRefused);
         });
     }
 
     @Override
-    protected void send(ClientEndpoint link, byte[] raw) {
-        ClientMessage line =
-                raw == ClientConnection.LINE_MESSAGE ? LINE : raw.length > MAX_LINE_LENGTH ? null : model.decode(raw);
-        testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> {
-            if (holds(link)) {
+    protected void send(ClientEndpoint client, byte[] raw) {
+        ClientMessage message = raw == ClientConnection.LINE_MESSAGE
+                ? DECODED_LINE_MESSAGE
+                : raw.length > MAX_LINE_LENGTH ? null : simulatedTestbed.decode(raw);
+        testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> {
+            if (isOpen(client)) {
                 onNetworkEvent(
-                        line == null
-                                ? new NetworkEvent.FramingError(link.socket)
-                                : new NetworkEvent.ClientMessageReceived(link.socket, line));
+                        message == null
+                                ? new NetworkEvent.FramingError(client.socket)
+                                : new NetworkEvent.ClientMessageReceived(client.socket, message));
             }
         });
     }
 
     @Override
-    protected void end(ClientEndpoint link) {
-        testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> {
-            if (holds(link)) {
-                onNetworkEvent(new NetworkEvent.InputShutdown(link.socket));
+    protected void end(ClientEndpoint client) {
+        testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> {
+            if (isOpen(client)) {
+                onNetworkEvent(new NetworkEvent.InputShutdown(client.socket));
             }
         });
     }
 
-    private boolean holds(ClientEndpoint link) {
-        return running && link.relayIncarnation == incarnation && clients.get(link.socket) == link;
+    /** Whether this process accepted the client and has not closed its socket. */
+    private boolean isOpen(ClientEndpoint client) {
+        return running && client.relayIncarnation == incarnation && clients.get(client.socket) == client;
     }
 
-    private boolean holds(SimulatedBackendConnection link) {
-        return running && link.relayIncarnation == incarnation && backendConnections.get(link.socket) == link;
+    /** Whether this process opened the connection and has not released its socket. */
+    private boolean isOpen(SimulatedBackendConnection connection) {
+        return running
+                && connection.relayIncarnation == incarnation
+                && backendConnections.get(connection.socket) == connection;
     }
 
-    void onBackendConnected(SimulatedBackendConnection link) {
-        if (holds(link)) {
-            testbed.onDispatchSent(this, link.backend());
-            onNetworkEvent(new NetworkEvent.BackendConnected(link.socket));
-            if (holds(link)) {
-                onNetworkEvent(new NetworkEvent.FirstLineWritten(link.socket));
+    /** A dispatch counts as sent when its connection is up, which is when its first line goes out. */
+    void onBackendConnected(SimulatedBackendConnection connection) {
+        if (isOpen(connection)) {
+            testbed.onDispatchSent(this, connection.backend());
+            onNetworkEvent(new NetworkEvent.BackendConnected(connection.socket));
+            if (isOpen(connection)) {
+                onNetworkEvent(new NetworkEvent.FirstLineWritten(connection.socket));
             }
         }
     }
 
-    void onBackendLine(SimulatedBackendConnection link, BackendMessage line) {
-        if (holds(link)) {
-            onNetworkEvent(new NetworkEvent.BackendMessageReceived(link.socket, line));
+    void onBackendLine(SimulatedBackendConnection connection, BackendMessage line) {
+        if (isOpen(connection)) {
+            onNetworkEvent(new NetworkEvent.BackendMessageReceived(connection.socket, line));
         }
     }
 
-    void onBackendEnded(SimulatedBackendConnection link) {
-        if (holds(link)) {
-            onNetworkEvent(new NetworkEvent.InputShutdown(link.socket));
+    /** The backend shut down its sending direction; the relay may still write. */
+    void onBackendEnded(SimulatedBackendConnection connection) {
+        if (isOpen(connection)) {
+            onNetworkEvent(new NetworkEvent.InputShutdown(connection.socket));
         }
     }
 
-    void onBackendClosed(SimulatedBackendConnection link, boolean reset) {
-        if (holds(link)) {
-            backendConnections.remove(link.socket);
-            onNetworkEvent(new NetworkEvent.SocketClosed(link.socket, reset));
+    /** The backend refused or reset the connection (`reset`), or it was abandoned while it was being set up. */
+    void onBackendClosed(SimulatedBackendConnection connection, boolean reset) {
+        if (isOpen(connection)) {
+            backendConnections.remove(connection.socket);
+            onNetworkEvent(new NetworkEvent.SocketClosed(connection.socket, reset));
         }
     }
 
-    /** One watch on the roster: what it is told takes the way to here, and is nothing to a later watch. */
+    /**
+     * One watch on the roster service. Its messages arrive after the network's latency; they are dropped if another
+     * watch has replaced this one by then.
+     */
     private final class RosterWatch implements SimulatedRosterService.Watcher {
         private final long generation = ++watchGeneration;
 
-        private void later(Runnable thing) {
-            testbed.scheduler.scheduleAfter(model.rosterLatency(number), () -> {
+        private void scheduleDelivery(Runnable delivery) {
+            testbed.scheduler.scheduleAfter(simulatedTestbed.rosterLatency(number), () -> {
                 if (running && generation == watchGeneration) {
-                    thing.run();
+                    delivery.run();
                 }
             });
         }
 
-        void subscribe(long from) {
-            testbed.scheduler.scheduleAfter(2 * model.rosterLatency(number), () -> {
-                if (running && generation == watchGeneration && !testbed.rosterService.watch(this, from)) {
-                    fail("not connected");
+        /**
+         * Asks for the roster's changes after version `fromVersion`, or for the complete roster if that is below 0 or
+         * unknown to the service. Takes one round trip.
+         */
+        void subscribe(long fromVersion) {
+            testbed.scheduler.scheduleAfter(2 * simulatedTestbed.rosterLatency(number), () -> {
+                if (running && generation == watchGeneration && !testbed.rosterService.watch(this, fromVersion)) {
+                    reportFailure("not connected");
                 }
             });
         }
 
         @Override
         public void onMessage(RosterMessage message) {
-            later(() -> {
+            scheduleDelivery(() -> {
                 roster.apply(message, testbed.now());
                 onNetworkEvent(new NetworkEvent.RosterReceived(message));
             });
@@ -276,13 +350,13 @@
 
         @Override
         public void onWatchEnded() {
-            fail("cut off");
+            reportFailure("cut off");
         }
 
-        private void fail(String why) {
-            later(() -> {
+        private void reportFailure(String reason) {
+            scheduleDelivery(() -> {
                 watchGeneration++;
-                onNetworkEvent(new NetworkEvent.RosterWatchFailed(why));
+                onNetworkEvent(new NetworkEvent.RosterWatchFailed(reason));
             });
         }
     }
@@ -294,103 +368,111 @@
         }
     }
 
-    private void onNetworkEvent(NetworkEvent heard) {
-        apply(new Event.NetworkEventReceived(heard));
+    private void onNetworkEvent(NetworkEvent networkEvent) {
+        apply(new Event.NetworkEventReceived(networkEvent));
     }
 
+    /** Feeds one event to the reducer and executes the effects that it returns, in their order. */
     private void apply(Event event) {
         for (Effect effect : stateMachine.apply(event, testbed.now())) {
             execute(effect);
         }
     }
 
-    // ---- what it asks for
+    // ---- effects of the reducer
 
     private void execute(Effect effect) {
-        if (effect instanceof Effect.ExecuteCommand wire) {
-            execute(wire.command());
-        } else if (effect instanceof Effect.ScheduleTimer wake) {
-            long mine = ++timerGeneration;
-            // As the daemon's timer: whole milliseconds, rounded up, one at least.
-            long delay = Math.max(1, (Math.min(wake.time(), Long.MAX_VALUE / 2) - testbed.now() + MS - 1) / MS) * MS;
+        if (effect instanceof Effect.ExecuteCommand execution) {
+            execute(execution.command());
+        } else if (effect instanceof Effect.ScheduleTimer timer) {
+            long generation = ++timerGeneration;
+            // Like the daemon's timer: whole milliseconds, rounded up, at least one.
+            long delay = Math.max(1, (Math.min(timer.time(), Long.MAX_VALUE / 2) - testbed.now() + MS - 1) / MS) * MS;
             testbed.scheduler.scheduleAfter(delay, () -> {
-                if (running && mine == timerGeneration) {
+                if (running && generation == timerGeneration) {
                     apply(new Event.TimerFired());
                 }
             });
-        } else if (effect instanceof Effect.PersistLearnedState keep) {
-            persist(keep);
-        } else if (effect instanceof Effect.PersistRoster keep) {
-            heardOnce = true;
-            hand.add(keep.message());
+        } else if (effect instanceof Effect.PersistLearnedState learned) {
+            persist(learned);
+        } else if (effect instanceof Effect.PersistRoster received) {
+            rosterReceived = true;
+            pendingChanges.add(received.message());
         } else if (effect instanceof Effect.Stop) {
-            int mine = incarnation;
+            int currentIncarnation = incarnation;
             if (testbed.scenario.relays().persistsState()) {
                 apply(new Event.LearnedStateRequested());
             }
-            testbed.scheduler.scheduleAfter(200 * MS, () -> terminate(mine));
+            testbed.scheduler.scheduleAfter(EXIT_DELAY, () -> terminate(currentIncarnation));
         }
     }
 
-    private void execute(NetworkCommand ask) {
-        if (ask instanceof NetworkCommand.Connect dial) {
-            SimulatedBackendConnection link = new SimulatedBackendConnection(this, dial.socket(), dial.firstLine());
-            backendConnections.put(dial.socket(), link);
-            link.connect(dial.address());
-        } else if (ask instanceof NetworkCommand.Write write) {
+    /** Client sockets have numbers above 0, backend sockets below. */
+    private void execute(NetworkCommand command) {
+        if (command instanceof NetworkCommand.Connect connect) {
+            SimulatedBackendConnection connection =
+                    new SimulatedBackendConnection(this, connect.socket(), connect.firstLine());
+            backendConnections.put(connect.socket(), connection);
+            connection.connect(connect.address());
+        } else if (command instanceof NetworkCommand.Write write) {
             if (write.socket() > 0) {
-                ClientEndpoint link = clients.get(write.socket());
-                if (link != null) {
-                    testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> link.onLine(write.line()));
+                ClientEndpoint client = clients.get(write.socket());
+                if (client != null) {
+                    testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> client.onLine(write.line()));
                 }
             } else {
-                SimulatedBackendConnection link = backendConnections.get(write.socket());
-                if (link != null) {
-                    link.forwardLine();
+                SimulatedBackendConnection connection = backendConnections.get(write.socket());
+                if (connection != null) {
+                    connection.forwardLine();
                 }
             }
-        } else if (ask instanceof NetworkCommand.ShutdownOutput finish) {
-            if (finish.socket() > 0) {
-                ClientEndpoint link = clients.get(finish.socket());
-                if (link != null) {
-                    testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> link.onClosed(false));
+        } else if (command instanceof NetworkCommand.ShutdownOutput shutdown) {
+            if (shutdown.socket() > 0) {
+                ClientEndpoint client = clients.get(shutdown.socket());
+                if (client != null) {
+                    testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> client.onClosed(false));
                 }
             } else {
-                SimulatedBackendConnection link = backendConnections.get(finish.socket());
-                if (link != null) {
-                    link.shutdownOutput();
+                SimulatedBackendConnection connection = backendConnections.get(shutdown.socket());
+                if (connection != null) {
+                    connection.shutdownOutput();
                 }
             }
-        } else if (ask instanceof NetworkCommand.Close close) {
-            drop(close.socket(), false);
-        } else if (ask instanceof NetworkCommand.Reset reset) {
-            drop(reset.socket(), true);
-        } else if (ask instanceof NetworkCommand.WatchRoster from) {
+        } else if (command instanceof NetworkCommand.Close close) {
+            closeSocket(close.socket(), false);
+        } else if (command instanceof NetworkCommand.Reset reset) {
+            closeSocket(reset.socket(), true);
+        } else if (command instanceof NetworkCommand.WatchRoster watch) {
             unwatch();
             rosterWatch = new RosterWatch();
-            rosterWatch.subscribe(from.fromVersion());
+            rosterWatch.subscribe(watch.fromVersion());
         }
     }
 
-    private void drop(long socket, boolean reset) {
-        int mine = incarnation;
+    /**
+     * Closes or resets a socket. The reducer learns of it in an event of its own, as from the daemon's sockets. A
+     * backend connection that is still being set up is released, and reported, once its connect attempt ends.
+     */
+    private void closeSocket(long socket, boolean reset) {
+        int currentIncarnation = incarnation;
         if (socket > 0) {
-            ClientEndpoint link = clients.remove(socket);
-            if (link != null) {
-                testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> link.onClosed(reset));
-                testbed.scheduler.scheduleAfter(0, () -> gone(mine, socket));
+            ClientEndpoint client = clients.remove(socket);
+            if (client != null) {
+                testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> client.onClosed(reset));
+                testbed.scheduler.scheduleAfter(0, () -> notifySocketClosed(currentIncarnation, socket));
             }
         } else {
-            SimulatedBackendConnection link = backendConnections.get(socket);
-            if (link != null && link.closeByRelay(reset)) {
+            SimulatedBackendConnection connection = backendConnections.get(socket);
+            if (connection != null && connection.closeByRelay(reset)) {
                 backendConnections.remove(socket);
-                testbed.scheduler.scheduleAfter(0, () -> gone(mine, socket));
+                testbed.scheduler.scheduleAfter(0, () -> notifySocketClosed(currentIncarnation, socket));
             }
         }
     }
 
-    private void gone(int mine, long socket) {
-        if (running && incarnation == mine) {
+    /** Tells the reducer that the socket is released, unless the relay was killed or restarted meanwhile. */
+    private void notifySocketClosed(int forIncarnation, long socket) {
+        if (running && incarnation == forIncarnation) {
             onNetworkEvent(new NetworkEvent.SocketClosed(socket, false));
         }
     }
