--- a/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
@@ -61,7 +61,7 @@
             if (!finished) {
                 finished = true;
                 testbed.onBadClientUnanswered();
-                relay.end(this);
+                relay.disconnect(this);
             }
         });
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
@@ -97,7 +97,7 @@
             testbed.metrics.add(Series.UNANSWERED, 1, testbed.now());
             testbed.invariantChecker.onEndWithoutAnswer(association, "nothing within its time", testbed.now());
             markClosed();
-            relay.end(this);
+            relay.disconnect(this);
             session.onFailed();
         }
     }
@@ -125,7 +125,7 @@
     @Override
     public void onLine(byte[] raw) {
         if (stage == Stage.CLOSED) {
-            if (association.finalAnswers > 0 && !moveReceived && !byeReceived) {
+            if (association.finalAnswerCount > 0 && !moveReceived && !byeReceived) {
                 testbed.invariantChecker.onLineAfterFinalAnswer(association, testbed.now());
             }
             return;
@@ -208,7 +208,7 @@
         boolean wasEstablished = stage == Stage.ESTABLISHED;
         markClosed();
         if (!reset) {
-            relay.end(this);
+            relay.disconnect(this);
         }
         if (!wasEstablished) {
             testbed.invariantChecker.onEndWithoutAnswer(association, "closed with no answer", testbed.now());
--- a/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
@@ -79,7 +79,7 @@
         final Scenario.Workload useCase;
         final List<ObservedDispatch> dispatches = new ArrayList<>(1);
         /** Number of final answers that the client has received. */
-        int finalAnswers;
+        int finalAnswerCount;
         /** The association ended, or its cut-off passed, without a final answer. */
         boolean endedUnanswered;
 
@@ -178,10 +178,10 @@
      * @param shed the answer is BUSY
      */
     public void onFinalAnswer(ObservedAssociation association, boolean shed, long now) {
-        association.finalAnswers++;
-        if (association.finalAnswers > 1) {
+        association.finalAnswerCount++;
+        if (association.finalAnswerCount > 1) {
             recordViolation(
-                    Invariant.NOTHING_AFTER_FINAL_ANSWER, association, now, "answer " + association.finalAnswers);
+                    Invariant.NOTHING_AFTER_FINAL_ANSWER, association, now, "answer " + association.finalAnswerCount);
         }
         boolean mayHaveRun = association.dispatches.stream().anyMatch(dispatch -> !dispatch.neverRan);
         boolean isRepeatHarmless = association.useCase.effect() == Scenario.Effect.RETRIABLE
@@ -206,7 +206,7 @@
      * the client has received no final answer; reported once per association.
      */
     public void onEndWithoutAnswer(ObservedAssociation association, String reason, long now) {
-        if (association.finalAnswers == 0 && !association.endedUnanswered) {
+        if (association.finalAnswerCount == 0 && !association.endedUnanswered) {
             recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, association, now, reason);
         }
         association.endedUnanswered = true;
--- a/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
@@ -127,7 +127,7 @@
     }
 
     /** Values per second from the end of the warm-up on: the recorder's own array, not a copy. */
-    public double[] series(Series series) {
+    public double[] valuesPerSecond(Series series) {
         return valuesBySeries.get(series);
     }
 
--- a/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
@@ -70,5 +70,5 @@
     protected abstract void send(ClientEndpoint client, byte[] raw);
 
     /** The client closes its connection to the relay. */
-    protected abstract void end(ClientEndpoint client);
+    protected abstract void disconnect(ClientEndpoint client);
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
@@ -261,7 +261,7 @@
     }
 
     @Override
-    protected void end(ClientEndpoint client) {
+    protected void disconnect(ClientEndpoint client) {
         testbed.scheduler.scheduleAfter(client.oneWayLatency, () -> {
             if (isOpen(client)) {
                 onNetworkEvent(new NetworkEvent.InputShutdown(client.socket));
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
@@ -145,7 +145,9 @@
     /** Creates a relay's state machine, with a seed of its own, that starts from the given state. */
     RelayStateMachine newStateMachine(InitialState initialState) {
         return relayDecorator.apply(new Reducer(
-                configuration.values().withSeed(SplitMix64.mix(++stateMachineCount * 31 + random.nextLong())),
+                configuration
+                        .reducerConfiguration()
+                        .withSeed(SplitMix64.mix(++stateMachineCount * 31 + random.nextLong())),
                 initialState,
                 scenario.relays().persistsState(),
                 policyFactory,
--- a/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
@@ -88,7 +88,7 @@
     /** Client connections that have not received a final answer yet. */
     private int waitingClientCount;
 
-    private int unansweredBadClients;
+    private int unansweredBadClientCount;
     private int badClientCount;
 
     /**
@@ -591,12 +591,12 @@
 
     /** Called when a bad client has received neither an answer nor a close in time. */
     void onBadClientUnanswered() {
-        unansweredBadClients++;
+        unansweredBadClientCount++;
     }
 
     /** Number of bad clients that received neither an answer nor a close in time. */
-    public int unansweredBadClients() {
-        return unansweredBadClients;
+    public int unansweredBadClientCount() {
+        return unansweredBadClientCount;
     }
 
     /** Number of bad clients sent so far. */
