--- a/relay/src/main/java/ambertrestle/Main.java
+++ b/relay/src/main/java/ambertrestle/Main.java
@@ -19,16 +19,16 @@
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
             // The same for the one option that a relay which keeps its state is always started with: a fifth of its
             // start.
-            OperatorConfiguration file =
+            OperatorConfiguration operatorConfiguration =
                     Cli.readOperatorConfiguration(Path.of(args[2]), new PrintWriter(System.err, true));
-            if (file == null) {
+            if (operatorConfiguration == null) {
                 System.exit(1);
             }
-            RelayServer.run(System.getenv(), file.logFormat(), file.persistence());
+            RelayServer.run(System.getenv(), operatorConfiguration.logFormat(), operatorConfiguration.persistence());
         } else if (args.length == 1 && args[0].equals("simhost")) {
-            int code = Cli.runSimHost();
-            if (code != 0) {
-                System.exit(code);
+            int exitCode = Cli.runSimHost();
+            if (exitCode != 0) {
+                System.exit(exitCode);
             }
         } else {
             System.exit(Cli.commandLine().execute(args));
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -74,33 +74,36 @@
                 names = "--config",
                 paramLabel = "FILE",
                 description = "The configuration, JSON; default: $BALANCER_CONFIG.")
-        private String config;
+        private String configurationFile;
 
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
                 description = "The operator file, TOML; default: none, nothing more is on.")
-        private Path operator;
+        private Path operatorFile;
 
         @Option(
                 names = "--log-format",
                 paramLabel = "text|json",
                 description = "How the log is written; default: text.")
-        private Log.Format form;
+        private Log.Format logFormat;
 
         @Override
         public Integer call() throws InterruptedException {
-            OperatorConfiguration file = operator == null
+            OperatorConfiguration operatorConfiguration = operatorFile == null
                     ? OperatorConfiguration.DEFAULT
-                    : readOperatorConfiguration(operator, spec.commandLine().getErr());
-            if (file == null) {
+                    : readOperatorConfiguration(operatorFile, spec.commandLine().getErr());
+            if (operatorConfiguration == null) {
                 return 1;
             }
             Map<String, String> environment = new HashMap<>(System.getenv());
-            if (config != null) {
-                environment.put("BALANCER_CONFIG", config);
+            if (configurationFile != null) {
+                environment.put("BALANCER_CONFIG", configurationFile);
             }
-            RelayServer.run(environment, form != null ? form : file.logFormat(), file.persistence());
+            RelayServer.run(
+                    environment,
+                    logFormat != null ? logFormat : operatorConfiguration.logFormat(),
+                    operatorConfiguration.persistence());
             // The JVM ends by signal, or by a start that failed; this thread has nothing more to do.
             Thread.currentThread().join();
             return 0;
@@ -125,7 +128,7 @@
         } catch (IOException e) {
             err.println("ambertrestle: " + e.getMessage());
         } catch (OperatorConfiguration.InvalidOperatorFileException e) {
-            e.faults().forEach(f -> err.println("ambertrestle: " + f));
+            e.faults().forEach(fault -> err.println("ambertrestle: " + fault));
         }
         return null;
     }
@@ -157,29 +160,29 @@
                 names = "--config",
                 paramLabel = "FILE",
                 description = "The configuration, JSON; default: $BALANCER_CONFIG, where it is set.")
-        private String config;
+        private String configurationFile;
 
         @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, TOML.")
-        private Path operator;
+        private Path operatorFile;
 
         @Override
         public Integer call() {
             PrintWriter err = spec.commandLine().getErr();
             Map<String, String> environment = new HashMap<>(System.getenv());
-            if (config != null) {
-                environment.put("BALANCER_CONFIG", config);
+            if (configurationFile != null) {
+                environment.put("BALANCER_CONFIG", configurationFile);
             }
-            if (operator == null && environment.get("BALANCER_CONFIG") == null) {
+            if (operatorFile == null && environment.get("BALANCER_CONFIG") == null) {
                 err.println("ambertrestle: nothing to check: give --config, --operator or BALANCER_CONFIG");
                 return 2;
             }
             List<String> faults = new ArrayList<>();
             if (environment.get("BALANCER_CONFIG") != null) {
-                RelayConfiguration.findFaults(environment).forEach(f -> faults.add(f.toString()));
+                RelayConfiguration.findFaults(environment).forEach(fault -> faults.add(fault.toString()));
             }
-            if (operator != null) {
+            if (operatorFile != null) {
                 try {
-                    OperatorConfiguration.read(operator);
+                    OperatorConfiguration.read(operatorFile);
                 } catch (IOException e) {
                     faults.add(e.getMessage());
                 } catch (OperatorConfiguration.InvalidOperatorFileException e) {
@@ -208,14 +211,14 @@
                 paramLabel = "FILE",
                 required = true,
                 description = "The configuration whose settings hold, JSON.")
-        private String config;
+        private String configurationFile;
 
         @Option(
                 names = "--roster",
                 paramLabel = "FILE",
                 description =
                         "The list of backends in the roster service's form, JSON; default: `known` of the configuration.")
-        private Path roster;
+        private Path rosterFile;
 
         @Parameters(
                 paramLabel = "KEY",
@@ -225,48 +228,48 @@
         @Override
         public Integer call() throws IOException {
             PrintWriter err = spec.commandLine().getErr();
-            RelayConfiguration sheet;
-            RosterMessage message;
+            RelayConfiguration configuration;
+            RosterMessage rosterMessage;
             try {
-                sheet = RelayConfiguration.read(Map.of(
+                configuration = RelayConfiguration.read(Map.of(
                         "BALANCER_CONFIG",
-                        config,
+                        configurationFile,
                         "BALANCER_LISTEN",
                         "127.0.0.1:1",
                         "BALANCER_DISCOVERY",
                         "127.0.0.1:1"));
-                message = roster == null
-                        ? sheet.initialRoster()
-                        : RosterMessage.decode(new JsonObject(Files.readString(roster)));
+                rosterMessage = rosterFile == null
+                        ? configuration.initialRoster()
+                        : RosterMessage.decode(new JsonObject(Files.readString(rosterFile)));
             } catch (RelayConfiguration.InvalidConfigurationException e) {
-                err.println("ambertrestle: " + config + ": " + e.getMessage());
+                err.println("ambertrestle: " + configurationFile + ": " + e.getMessage());
                 return 1;
             } catch (IOException e) {
-                err.println("ambertrestle: " + roster + " cannot be read");
+                err.println("ambertrestle: " + rosterFile + " cannot be read");
                 return 1;
             } catch (DecodeException e) {
-                err.println("ambertrestle: " + roster + " is not JSON");
+                err.println("ambertrestle: " + rosterFile + " is not JSON");
                 return 1;
             } catch (IllegalArgumentException e) {
-                err.println("ambertrestle: " + roster + " is no roster: " + e.getMessage());
+                err.println("ambertrestle: " + rosterFile + " is no roster: " + e.getMessage());
                 return 1;
             }
-            PlacementPreview placement =
-                    new PlacementPreview(sheet.values(), message, System.currentTimeMillis() * 1_000_000);
+            PlacementPreview preview =
+                    new PlacementPreview(configuration.values(), rosterMessage, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
-            int line = 0;
+            int lineNumber = 0;
             BufferedReader in = keys.isEmpty()
                     ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
                     : new BufferedReader(new java.io.StringReader(String.join("\n", keys)));
             for (String key = in.readLine(); key != null; key = in.readLine()) {
-                line++;
+                lineNumber++;
                 if (!key.strip().matches("[0-9a-fA-F]{1,16}") || Long.parseUnsignedLong(key.strip(), 16) == 0) {
                     out.flush();
-                    err.println("ambertrestle: key " + line
+                    err.println("ambertrestle: key " + lineNumber
                             + " is malformed: expected 1 to 16 digits of hex, not 0, got " + key);
                     return 1;
                 }
-                String backend = placement.selectBackend(Long.parseUnsignedLong(key.strip(), 16));
+                String backend = preview.selectBackend(Long.parseUnsignedLong(key.strip(), 16));
                 out.println(key.strip() + " " + (backend == null ? "-" : backend));
             }
             out.flush();
--- a/relay/src/main/java/ambertrestle/cli/StateCommand.java
+++ b/relay/src/main/java/ambertrestle/cli/StateCommand.java
@@ -39,7 +39,7 @@
     }
 
     /** Says on standard error why not; null then. */
-    private static StateSnapshot read(CommandSpec spec, Path file) {
+    private static StateSnapshot readSnapshot(CommandSpec spec, Path file) {
         try {
             return StateFileCodec.decode(Files.readAllBytes(file));
         } catch (IOException e) {
@@ -50,8 +50,10 @@
         return null;
     }
 
-    private static String time(long nanos) {
-        return nanos <= 0 ? "never" : Instant.ofEpochMilli(nanos / 1_000_000).toString();
+    private static String formatTime(long unixNanos) {
+        return unixNanos <= 0
+                ? "never"
+                : Instant.ofEpochMilli(unixNanos / 1_000_000).toString();
     }
 
     @Command(
@@ -67,8 +69,8 @@
 
         @Override
         public Integer call() {
-            StateSnapshot p = read(spec, file);
-            if (p == null) {
+            StateSnapshot snapshot = readSnapshot(spec, file);
+            if (snapshot == null) {
                 return 1;
             }
             spec.commandLine()
@@ -76,11 +78,11 @@
                     .printf(
                             "%s: whole, kept by %s at %s: %d backends, %d judged, %d pins%n",
                             file,
-                            p.relayName(),
-                            time(p.takenAt()),
-                            p.roster().entries().size(),
-                            p.learnedState().backends().size(),
-                            p.learnedState().pins().size());
+                            snapshot.relayName(),
+                            formatTime(snapshot.takenAt()),
+                            snapshot.roster().entries().size(),
+                            snapshot.learnedState().backends().size(),
+                            snapshot.learnedState().pins().size());
             spec.commandLine().getOut().flush();
             return 0;
         }
@@ -99,71 +101,72 @@
         private Path file;
 
         @Option(names = "--pins", description = "List each pin: key, backend, end of its last connection.")
-        private boolean pins;
+        private boolean listPins;
 
         @Override
         public Integer call() {
-            StateSnapshot p = read(spec, file);
-            if (p == null) {
+            StateSnapshot snapshot = readSnapshot(spec, file);
+            if (snapshot == null) {
                 return 1;
             }
-            printSnapshot(p, spec.commandLine().getOut(), pins, System.currentTimeMillis() * 1_000_000);
+            printSnapshot(snapshot, spec.commandLine().getOut(), listPins, System.currentTimeMillis() * 1_000_000);
             return 0;
         }
     }
 
-    static void printSnapshot(StateSnapshot p, PrintWriter out, boolean pins, long now) {
-        LearnedState k = p.learnedState();
-        Map<Long, String> names = new HashMap<>();
-        p.roster().entries().forEach(l -> names.put(RosterMessage.backendId(l.name()), l.name()));
+    static void printSnapshot(StateSnapshot snapshot, PrintWriter out, boolean listPins, long now) {
+        LearnedState learnedState = snapshot.learnedState();
+        Map<Long, String> nameById = new HashMap<>();
+        snapshot.roster().entries().forEach(entry -> nameById.put(RosterMessage.backendId(entry.name()), entry.name()));
         out.printf(
                 Locale.ROOT,
                 "relay      %s%nkept at    %s, %.1f s ago%n",
-                p.relayName(),
-                time(p.takenAt()),
-                (now - p.takenAt()) / 1e9);
+                snapshot.relayName(),
+                formatTime(snapshot.takenAt()),
+                (now - snapshot.takenAt()) / 1e9);
         out.printf(
                 "roster     version %d of %s, heard %s%n",
-                p.roster().version(),
-                p.rosterAddress().isEmpty() ? "nobody" : p.rosterAddress(),
-                time(p.rosterConfirmedAt()));
+                snapshot.roster().version(),
+                snapshot.rosterAddress().isEmpty() ? "nobody" : snapshot.rosterAddress(),
+                formatTime(snapshot.rosterConfirmedAt()));
         out.printf(
                 Locale.ROOT,
                 "carried    %.2f connections a second lived to their end; a set-up takes %.1f ms; %s%n",
-                k.relayStatistics().completedConnections()
-                        / (k.relayStatistics().observedFor() / 1e9 + 1),
-                k.relayStatistics().typicalSetUpTime() / 1e6,
-                k.relayStatistics().setUpInterval() > 0
-                        ? "set-ups are spaced by " + k.relayStatistics().setUpInterval() / 1_000_000 + " ms"
+                learnedState.relayStatistics().completedConnections()
+                        / (learnedState.relayStatistics().observedFor() / 1e9 + 1),
+                learnedState.relayStatistics().typicalSetUpTime() / 1e6,
+                learnedState.relayStatistics().setUpInterval() > 0
+                        ? "set-ups are spaced by "
+                                + learnedState.relayStatistics().setUpInterval() / 1_000_000 + " ms"
                         : "set-ups are not spaced");
         out.printf("%n%-24s %-9s %-24s %s%n", "backend", "stage", "started", "address");
-        for (RosterMessage.Entry l : p.roster().entries()) {
+        for (RosterMessage.Entry entry : snapshot.roster().entries()) {
             out.printf(
                     "%-24s %-9s %-24s %s%n",
-                    l.name(),
-                    l.stage().name().toLowerCase(Locale.ROOT),
-                    l.startedAtMillis() == 0 ? "long ago" : Instant.ofEpochMilli(l.startedAtMillis()),
-                    l.address());
+                    entry.name(),
+                    entry.stage().name().toLowerCase(Locale.ROOT),
+                    entry.startedAtMillis() == 0 ? "long ago" : Instant.ofEpochMilli(entry.startedAtMillis()),
+                    entry.address());
         }
         out.printf("%n%-24s %8s %8s %8s %9s %7s%n", "judged", "stood", "failed", "slow", "late ms", "weight");
-        for (BackendStatistics j : k.backends()) {
+        for (BackendStatistics statistics : learnedState.backends()) {
             out.printf(
                     Locale.ROOT,
                     "%-24s %8.2f %8.2f %8.2f %9d %7.3f%n",
-                    names.getOrDefault(j.backend(), Long.toHexString(j.backend())),
-                    j.successes(),
-                    j.failures(),
-                    j.sharedCauseFailures(),
-                    j.reportedDelay() / 1_000_000,
-                    LearnedStateDecay.failureEvidenceWeight(now - j.evidenceUpdatedAt()));
+                    nameById.getOrDefault(statistics.backend(), Long.toHexString(statistics.backend())),
+                    statistics.successes(),
+                    statistics.failures(),
+                    statistics.sharedCauseFailures(),
+                    statistics.reportedDelay() / 1_000_000,
+                    LearnedStateDecay.failureEvidenceWeight(now - statistics.evidenceUpdatedAt()));
         }
-        out.printf("%n%d pins%n", k.pins().size());
-        for (Pin pin : pins ? k.pins() : java.util.List.<Pin>of()) {
+        out.printf("%n%d pins%n", learnedState.pins().size());
+        for (Pin pin : listPins ? learnedState.pins() : java.util.List.<Pin>of()) {
             out.printf(
                     "%016x %-24s %s%n",
                     pin.key(),
-                    names.getOrDefault(pin.backend(), Long.toHexString(pin.backend())),
-                    pin.unusedSince() == Pin.IN_USE ? "open" : time(pin.unusedSince()));
+                    nameById.getOrDefault(pin.backend(), Long.toHexString(pin.backend())),
+                    pin.unusedSince() == Pin.IN_USE ? "open" : formatTime(pin.unusedSince()));
         }
         out.flush();
     }
--- a/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
+++ b/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
@@ -13,15 +13,15 @@
 
 /** In which line of a JSON file each key stands, so that a fault can be told by its place. */
 final class JsonLineIndex {
-    private final Map<String, Integer> lines = new HashMap<>();
+    private final Map<String, Integer> lineByPath = new HashMap<>();
     private int syntaxErrorLine;
 
     JsonLineIndex(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token != JsonToken.END_OBJECT && token != JsonToken.END_ARRAY) {
-                    lines.putIfAbsent(
-                            path(parser.getParsingContext()).toLowerCase(Locale.ROOT),
+                    lineByPath.putIfAbsent(
+                            pathOf(parser.getParsingContext()).toLowerCase(Locale.ROOT),
                             parser.currentTokenLocation().getLineNr());
                 }
             }
@@ -37,28 +37,28 @@
         return syntaxErrorLine;
     }
 
-    private static String path(JsonStreamContext at) {
-        String here = at.inArray()
-                ? Integer.toString(Math.max(0, at.getCurrentIndex()))
-                : String.valueOf(at.getCurrentName());
-        JsonStreamContext parent = at.getParent();
-        return at.inRoot() ? "" : parent == null || parent.inRoot() ? here : path(parent) + "." + here;
+    private static String pathOf(JsonStreamContext context) {
+        String segment = context.inArray()
+                ? Integer.toString(Math.max(0, context.getCurrentIndex()))
+                : String.valueOf(context.getCurrentName());
+        JsonStreamContext parent = context.getParent();
+        return context.inRoot() ? "" : parent == null || parent.inRoot() ? segment : pathOf(parent) + "." + segment;
     }
 
     /** The line of a key as a fault names it, else that of the nearest table that holds it, else the first. */
     int lineOf(String key) {
         String path = key.replace("settings: ", "settings.").toLowerCase(Locale.ROOT);
         while (true) {
-            for (String end : new String[] {"", "us"}) {
-                if (lines.containsKey(path + end)) {
-                    return lines.get(path + end);
+            for (String suffix : new String[] {"", "us"}) {
+                if (lineByPath.containsKey(path + suffix)) {
+                    return lineByPath.get(path + suffix);
                 }
             }
-            int dot = path.lastIndexOf('.');
-            if (dot < 0) {
+            int lastDot = path.lastIndexOf('.');
+            if (lastDot < 0) {
                 return 1;
             }
-            path = path.substring(0, dot);
+            path = path.substring(0, lastDot);
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/server/Log.java
@@ -32,42 +32,42 @@
     /** Rides on a log record as its parameter. */
     private record LogEvent(String event, Map<String, String> fields) {}
 
-    private static String relay = "";
+    private static String relayName = "";
 
     private Log() {}
 
     /** Before the first line; `name` is the relay's, a field of every line in JSON. */
-    static void configure(Format form, String name) {
-        relay = name;
-        Formatter formatter = form == Format.JSON ? new JsonFormatter() : new TextFormatter();
+    static void configure(Format format, String name) {
+        relayName = name;
+        Formatter formatter = format == Format.JSON ? new JsonFormatter() : new TextFormatter();
         for (Handler handler : java.util.logging.Logger.getLogger("").getHandlers()) {
             handler.setFormatter(formatter);
         }
     }
 
-    static void log(Level level, String event, String line, Map<String, String> fields) {
-        LOG.log(level, line, new LogEvent(event, fields));
+    static void log(Level level, String event, String message, Map<String, String> fields) {
+        LOG.log(level, message, new LogEvent(event, fields));
     }
 
-    static void log(Level level, String event, String line) {
-        log(level, event, line, Map.of());
+    static void log(Level level, String event, String message) {
+        log(level, event, message, Map.of());
     }
 
-    static void logFailure(String event, String line, Throwable why) {
-        StringWriter trace = new StringWriter();
-        why.printStackTrace(new PrintWriter(trace));
-        log(Level.ERROR, event, line, Map.of("trace", trace.toString().strip()));
+    static void logFailure(String event, String message, Throwable failure) {
+        StringWriter stackTrace = new StringWriter();
+        failure.printStackTrace(new PrintWriter(stackTrace));
+        log(Level.ERROR, event, message, Map.of("trace", stackTrace.toString().strip()));
     }
 
     /** Lines of libraries have no happening: their logger's name stands for the event. */
     private static LogEvent eventOf(LogRecord record) {
-        Object[] riding = record.getParameters();
-        return riding != null && riding.length == 1 && riding[0] instanceof LogEvent h
-                ? h
+        Object[] parameters = record.getParameters();
+        return parameters != null && parameters.length == 1 && parameters[0] instanceof LogEvent logEvent
+                ? logEvent
                 : new LogEvent(String.valueOf(record.getLoggerName()), Map.of());
     }
 
-    private static String level(LogRecord record) {
+    private static String levelName(LogRecord record) {
         return record.getLevel().intValue() >= java.util.logging.Level.SEVERE.intValue()
                 ? "ERROR"
                 : record.getLevel().getName();
@@ -79,25 +79,25 @@
 
         @Override
         public String format(LogRecord record) {
-            LogEvent h = eventOf(record);
-            StringBuilder out = new StringBuilder(160);
-            TIME.formatTo(record.getInstant(), out);
-            out.append(' ')
-                    .append(level(record))
+            LogEvent logEvent = eventOf(record);
+            StringBuilder line = new StringBuilder(160);
+            TIME.formatTo(record.getInstant(), line);
+            line.append(' ')
+                    .append(levelName(record))
                     .append(' ')
-                    .append(h.event)
+                    .append(logEvent.event)
                     .append(": ")
                     .append(
-                            h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                            logEvent.fields.isEmpty() && logEvent.event.equals(record.getLoggerName())
                                     ? formatMessage(record)
                                     : record.getMessage());
-            h.fields.forEach(
-                    (name, value) -> out.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=")
+            logEvent.fields.forEach(
+                    (name, value) -> line.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=")
                             .append(value));
             if (record.getThrown() != null) {
-                out.append(" (").append(record.getThrown()).append(')');
+                line.append(" (").append(record.getThrown()).append(')');
             }
-            return out.append(System.lineSeparator()).toString();
+            return line.append(System.lineSeparator()).toString();
         }
     }
 
@@ -106,21 +106,21 @@
 
         @Override
         public String format(LogRecord record) {
-            LogEvent h = eventOf(record);
-            StringWriter out = new StringWriter(240);
-            try (JsonGenerator json = factory.createGenerator(out)) {
+            LogEvent logEvent = eventOf(record);
+            StringWriter line = new StringWriter(240);
+            try (JsonGenerator json = factory.createGenerator(line)) {
                 json.writeStartObject();
                 json.writeStringField(
                         "time", Instant.ofEpochMilli(record.getMillis()).toString());
-                json.writeStringField("level", level(record));
-                json.writeStringField("event", h.event);
-                json.writeStringField("relay", relay);
+                json.writeStringField("level", levelName(record));
+                json.writeStringField("event", logEvent.event);
+                json.writeStringField("relay", relayName);
                 json.writeStringField(
                         "message",
-                        h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                        logEvent.fields.isEmpty() && logEvent.event.equals(record.getLoggerName())
                                 ? formatMessage(record)
                                 : record.getMessage());
-                for (Map.Entry<String, String> field : h.fields.entrySet()) {
+                for (Map.Entry<String, String> field : logEvent.fields.entrySet()) {
                     json.writeStringField(field.getKey(), field.getValue());
                 }
                 if (record.getThrown() != null) {
@@ -130,7 +130,7 @@
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            return out.append(System.lineSeparator()).toString();
+            return line.append(System.lineSeparator()).toString();
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -13,7 +13,7 @@
  * read, checked and given defaults. Nothing in it is needed to serve. `durable` is null where nothing is kept.
  */
 public record OperatorConfiguration(Log.Format logFormat, PersistenceConfiguration persistence) {
-    private static final long LEAST_INTERVAL = 100_000_000L, MOST_INTERVAL = 3_600_000_000_000L;
+    private static final long MIN_INTERVAL_NANOS = 100_000_000L, MAX_INTERVAL_NANOS = 3_600_000_000_000L;
     public static final OperatorConfiguration DEFAULT = new OperatorConfiguration(Log.Format.TEXT, null);
 
     /** All faults at once, each with file, line and key. */
@@ -35,36 +35,41 @@
         return read(TomlDocument.read(path));
     }
 
-    static OperatorConfiguration read(TomlDocument sheet) throws InvalidOperatorFileException {
-        TomlDocument.Table top = sheet.rootTable();
-        TomlDocument.Table log = top.readTable("log");
-        String form = log.readChoice("format", "text", List.of("text", "json"));
-        log.reportUnknownKeys();
-        PersistenceConfiguration durable = top.has("durable") ? durable(top.readTable("durable")) : null;
-        top.reportUnknownKeys();
-        if (!sheet.faults().isEmpty()) {
-            throw new InvalidOperatorFileException(sheet.faults());
+    static OperatorConfiguration read(TomlDocument document) throws InvalidOperatorFileException {
+        TomlDocument.Table rootTable = document.rootTable();
+        TomlDocument.Table logTable = rootTable.readTable("log");
+        String format = logTable.readChoice("format", "text", List.of("text", "json"));
+        logTable.reportUnknownKeys();
+        PersistenceConfiguration persistence =
+                rootTable.has("durable") ? readPersistenceConfiguration(rootTable.readTable("durable")) : null;
+        rootTable.reportUnknownKeys();
+        if (!document.faults().isEmpty()) {
+            throw new InvalidOperatorFileException(document.faults());
         }
-        return new OperatorConfiguration(Log.Format.valueOf(form.toUpperCase(Locale.ROOT)), durable);
+        return new OperatorConfiguration(Log.Format.valueOf(format.toUpperCase(Locale.ROOT)), persistence);
     }
 
-    private static PersistenceConfiguration durable(TomlDocument.Table part) {
-        String folder = part.readText("folder", null);
+    private static PersistenceConfiguration readPersistenceConfiguration(TomlDocument.Table table) {
+        String folder = table.readText("folder", null);
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
-            part.addFault("folder", "is not there: expected a folder that outlives the relay, got " + folder);
+            table.addFault("folder", "is not there: expected a folder that outlives the relay, got " + folder);
         }
-        long interval = part.readDurationNanos("interval", "2s");
-        if (interval < LEAST_INTERVAL || interval > MOST_INTERVAL) {
-            part.addFault("interval", "is malformed: expected a time from 100ms to 1h");
+        long intervalNanos = table.readDurationNanos("interval", "2s");
+        if (intervalNanos < MIN_INTERVAL_NANOS || intervalNanos > MAX_INTERVAL_NANOS) {
+            table.addFault("interval", "is malformed: expected a time from 100ms to 1h");
         }
-        long mostAge = part.readDurationNanos("most-age", "24h");
-        if (mostAge <= interval) {
-            part.addFault("most-age", "is malformed: expected more than interval");
+        long maxAgeNanos = table.readDurationNanos("most-age", "24h");
+        if (maxAgeNanos <= intervalNanos) {
+            table.addFault("most-age", "is malformed: expected more than interval");
         }
-        long sure = part.readDurationNanos("sure", "2s");
-        long megabytes = part.readLong("most-megabytes", 16L, 1, 1024);
-        part.reportUnknownKeys();
+        long maxFreshRosterAgeNanos = table.readDurationNanos("sure", "2s");
+        long megabytes = table.readLong("most-megabytes", 16L, 1, 1024);
+        table.reportUnknownKeys();
         return new PersistenceConfiguration(
-                folder == null ? null : Path.of(folder), interval, mostAge, megabytes << 20, sure);
+                folder == null ? null : Path.of(folder),
+                intervalNanos,
+                maxAgeNanos,
+                megabytes << 20,
+                maxFreshRosterAgeNanos);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -35,7 +35,7 @@
         private static final long serialVersionUID = 1L;
         private final String key;
         /** This one and those found after it. */
-        private final transient List<InvalidConfigurationException> all = new ArrayList<>(List.of(this));
+        private final transient List<InvalidConfigurationException> allFaults = new ArrayList<>(List.of(this));
 
         InvalidConfigurationException(String key, String expected) {
             super(key + " " + expected);
@@ -44,26 +44,26 @@
     }
 
     /** Reads on past a fault, so that one reading finds all. */
-    private static final class Faults {
-        private final List<InvalidConfigurationException> found = new ArrayList<>();
+    private static final class FaultCollector {
+        private final List<InvalidConfigurationException> faults = new ArrayList<>();
 
-        private interface Reading<T> {
+        private interface ValueReader<T> {
             T read() throws InvalidConfigurationException;
         }
 
-        <T> T or(T otherwise, Reading<T> reading) {
+        <T> T readOrDefault(T defaultValue, ValueReader<T> reader) {
             try {
-                return reading.read();
+                return reader.read();
             } catch (InvalidConfigurationException e) {
-                found.add(e);
-                return otherwise;
+                faults.add(e);
+                return defaultValue;
             }
         }
 
-        void end() throws InvalidConfigurationException {
-            if (!found.isEmpty()) {
-                InvalidConfigurationException first = found.get(0);
-                first.all.addAll(found.subList(1, found.size()));
+        void throwIfAny() throws InvalidConfigurationException {
+            if (!faults.isEmpty()) {
+                InvalidConfigurationException first = faults.get(0);
+                first.allFaults.addAll(faults.subList(1, faults.size()));
                 throw first;
             }
         }
@@ -72,31 +72,32 @@
     /** Every fault of the file that the environment names, with its line; empty where a relay would start with it. */
     public static List<TomlDocument.Fault> findFaults(Map<String, String> environment) {
         String path = environment.getOrDefault("BALANCER_CONFIG", "");
-        JsonLineIndex lines = new JsonLineIndex("");
+        JsonLineIndex lineIndex = new JsonLineIndex("");
         try {
             String text = Files.readString(Path.of(path));
-            lines = new JsonLineIndex(text);
-            if (lines.syntaxErrorLine() > 0) {
-                return List.of(new TomlDocument.Fault(path, lines.syntaxErrorLine(), "", "is not JSON from here on"));
+            lineIndex = new JsonLineIndex(text);
+            if (lineIndex.syntaxErrorLine() > 0) {
+                return List.of(
+                        new TomlDocument.Fault(path, lineIndex.syntaxErrorLine(), "", "is not JSON from here on"));
             }
-            RelayConfiguration sheet = read(environment);
-            new Balancer(sheet.values.settings(), sheet.values.seed(), 0);
+            RelayConfiguration configuration = read(environment);
+            new Balancer(configuration.values.settings(), configuration.values.seed(), 0);
             return List.of();
         } catch (IOException e) {
             return List.of(new TomlDocument.Fault(path, 1, "", "cannot be read"));
         } catch (InvalidConfigurationException e) {
             List<TomlDocument.Fault> faults = new ArrayList<>();
-            for (InvalidConfigurationException fault : e.all) {
+            for (InvalidConfigurationException fault : e.allFaults) {
                 String key = fault.key;
                 faults.add(new TomlDocument.Fault(
-                        path, lines.lineOf(key), key, fault.getMessage().substring(key.length() + 1)));
+                        path, lineIndex.lineOf(key), key, fault.getMessage().substring(key.length() + 1)));
             }
             return faults;
         } catch (IllegalArgumentException e) {
             // The module checks what it alone reads, one name at a time.
-            String said = e.getMessage().replace("job ticket: ", "");
-            return List.of(
-                    new TomlDocument.Fault(path, lines.lineOf("settings." + said.split(" ")[0]), "settings:", said));
+            String message = e.getMessage().replace("job ticket: ", "");
+            return List.of(new TomlDocument.Fault(
+                    path, lineIndex.lineOf("settings." + message.split(" ")[0]), "settings:", message));
         }
     }
 
@@ -120,47 +121,48 @@
     /** The same from what was read already. */
     public static RelayConfiguration read(Map<String, String> environment, JsonObject json)
             throws InvalidConfigurationException {
-        Faults all = new Faults();
-        JsonObject settings = all.or(
+        FaultCollector faults = new FaultCollector();
+        JsonObject settings = faults.readOrDefault(
                 new JsonObject(),
-                () -> need(
+                () -> requireValue(
                         valueOrDefault(json, "settings", JsonObject.class, null, "an object"),
                         "settings",
                         "an object"));
-        Map<String, String> ticket = new HashMap<>();
-        flatten(settings, "", ticket);
+        Map<String, String> flatSettings = new HashMap<>();
+        flatten(settings, "", flatSettings);
         // On sockets nothing tells how long a message takes at its backend, whatever the settings promise.
-        ticket.put("familyInfo.tellsDelay", "unseen");
+        flatSettings.put("familyInfo.tellsDelay", "unseen");
         List<Long> cutOffs = new ArrayList<>();
-        List<String> useCases = all.or(List.of(), () -> names(settings, "useCases"));
-        for (int u = 0; u < useCases.size(); u++) {
-            String cutOff = "useCases." + u + ".cutOff";
-            cutOffs.add(all.or(0L, () -> (long) number(ticket, cutOff)));
+        List<String> useCases = faults.readOrDefault(List.of(), () -> readNames(settings, "useCases"));
+        for (int useCase = 0; useCase < useCases.size(); useCase++) {
+            String cutOff = "useCases." + useCase + ".cutOff";
+            cutOffs.add(faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, cutOff)));
         }
-        long goal = Long.MAX_VALUE / 4;
-        for (String part : ticket.getOrDefault("familyInfo.messageAim", "").split(",")) {
-            goal = Math.min(
-                    goal,
-                    all.or(
-                            goal,
+        long messageGoalTime = Long.MAX_VALUE / 4;
+        for (String part :
+                flatSettings.getOrDefault("familyInfo.messageAim", "").split(",")) {
+            messageGoalTime = Math.min(
+                    messageGoalTime,
+                    faults.readOrDefault(
+                            messageGoalTime,
                             () -> part.isEmpty()
                                     ? Long.MAX_VALUE / 4
-                                    : (long) number(part, "settings: familyInfo.messageAim")));
+                                    : (long) parseNumber(part, "settings: familyInfo.messageAim")));
         }
-        JsonObject limits = all.or(
+        JsonObject limits = faults.readOrDefault(
                 new JsonObject(),
                 () -> valueOrDefault(json, "limits", JsonObject.class, new JsonObject(), "an object"));
-        String seed = all.or("0", () -> {
-            String said =
-                    need(valueOrDefault(json, "seed", String.class, null, "64 bits of hex"), "seed", "64 bits of hex");
-            if (!said.matches("[0-9a-fA-F]{1,16}")) {
-                throw new InvalidConfigurationException("seed", "is malformed: expected 64 bits of hex, got " + said);
+        String seed = faults.readOrDefault("0", () -> {
+            String value = requireValue(
+                    valueOrDefault(json, "seed", String.class, null, "64 bits of hex"), "seed", "64 bits of hex");
+            if (!value.matches("[0-9a-fA-F]{1,16}")) {
+                throw new InvalidConfigurationException("seed", "is malformed: expected 64 bits of hex, got " + value);
             }
-            return said;
+            return value;
         });
-        RosterMessage known = all.or(null, () -> {
+        RosterMessage knownRoster = faults.readOrDefault(null, () -> {
             try {
-                return RosterMessage.decode(need(
+                return RosterMessage.decode(requireValue(
                         valueOrDefault(json, "known", JsonObject.class, null, "a list of backends"),
                         "known",
                         "a list of backends"));
@@ -168,93 +170,102 @@
                 throw new InvalidConfigurationException("known", "is malformed: " + e.getMessage());
             }
         });
-        int sockets = all.or(2 * RESERVED_DESCRIPTORS, () -> {
-            int said = valueOrDefault(limits, "limits.sockets", Integer.class, 1024, "a whole number");
-            if (said < 2 * RESERVED_DESCRIPTORS) {
+        int maxSockets = faults.readOrDefault(2 * RESERVED_DESCRIPTORS, () -> {
+            int value = valueOrDefault(limits, "limits.sockets", Integer.class, 1024, "a whole number");
+            if (value < 2 * RESERVED_DESCRIPTORS) {
                 throw new InvalidConfigurationException(
                         "limits.sockets",
-                        "is too small: expected " + 2 * RESERVED_DESCRIPTORS + " at least, got " + said);
+                        "is too small: expected " + 2 * RESERVED_DESCRIPTORS + " at least, got " + value);
             }
-            return said;
+            return value;
         });
-        List<String> zones = all.or(List.of(), () -> names(settings, "zones"));
-        List<String> types = all.or(List.of(), () -> names(settings, "machineTypes"));
-        List<String> tenants = all.or(List.of(), () -> names(settings, "tenants"));
-        long connectTime = all.or(0L, () -> (long) number(ticket, "limits.connectTimeout"));
+        List<String> zones = faults.readOrDefault(List.of(), () -> readNames(settings, "zones"));
+        List<String> machineTypes = faults.readOrDefault(List.of(), () -> readNames(settings, "machineTypes"));
+        List<String> tenants = faults.readOrDefault(List.of(), () -> readNames(settings, "tenants"));
+        long connectTimeoutNanos =
+                faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, "limits.connectTimeout"));
         // Danger: the environment of a running relay never changes; a new file must win over it here.
-        Address discovery = all.or(null, () -> address(json, "discovery", environment, "BALANCER_DISCOVERY", true));
-        Address listen = all.or(null, () -> address(json, "listen", environment, "BALANCER_LISTEN", false));
-        String name = all.or(
+        Address rosterAddress = faults.readOrDefault(
+                null, () -> readAddress(json, "discovery", environment, "BALANCER_DISCOVERY", true));
+        Address listenAddress =
+                faults.readOrDefault(null, () -> readAddress(json, "listen", environment, "BALANCER_LISTEN", false));
+        String name = faults.readOrDefault(
                 "relay",
                 () -> environment.getOrDefault(
                         "BALANCER_NAME", valueOrDefault(json, "name", String.class, "relay", "a name")));
-        all.end();
-        ReducerConfiguration values = new ReducerConfiguration(
-                ticket,
+        faults.throwIfAny();
+        ReducerConfiguration reducerConfiguration = new ReducerConfiguration(
+                flatSettings,
                 Long.parseUnsignedLong(seed, 16),
                 cutOffs,
                 zones,
-                types,
-                goal,
-                sockets - RESERVED_DESCRIPTORS,
-                connectTime,
-                "pass".equals(ticket.get("familyInfo.mode")),
-                discovery);
+                machineTypes,
+                messageGoalTime,
+                maxSockets - RESERVED_DESCRIPTORS,
+                connectTimeoutNanos,
+                "pass".equals(flatSettings.get("familyInfo.mode")),
+                rosterAddress);
         return new RelayConfiguration(
-                name, listen, (int) (connectTime / 1_000_000), new ConfiguredNames(useCases, tenants), known, values);
+                name,
+                listenAddress,
+                (int) (connectTimeoutNanos / 1_000_000),
+                new ConfiguredNames(useCases, tenants),
+                knownRoster,
+                reducerConfiguration);
     }
 
     /** Keys that differ in a sheet read later, though a running relay keeps to what it started with. */
-    List<String> keysNeedingRestart(RelayConfiguration later) {
+    List<String> keysNeedingRestart(RelayConfiguration reloaded) {
         List<String> keys = new ArrayList<>();
-        if (!listenAddress.equals(later.listenAddress)) {
+        if (!listenAddress.equals(reloaded.listenAddress)) {
             keys.add("listen");
         }
-        if (!name.equals(later.name)) {
+        if (!name.equals(reloaded.name)) {
             keys.add("name");
         }
-        if (!values.settings().equals(later.values.settings())) {
+        if (!values.settings().equals(reloaded.values.settings())) {
             keys.add("settings");
         }
         return keys;
     }
 
-    private static Address address(
+    private static Address readAddress(
             JsonObject json, String key, Map<String, String> environment, String variable, boolean fileWins)
             throws InvalidConfigurationException {
-        String here = valueOrDefault(json, key, String.class, null, "an address and port");
-        boolean fromFile = here != null && (fileWins || !environment.containsKey(variable));
-        String faulty = fromFile ? key : variable;
-        String text = need(fromFile ? here : environment.get(variable), faulty, "an address and port");
+        String fileValue = valueOrDefault(json, key, String.class, null, "an address and port");
+        boolean fromFile = fileValue != null && (fileWins || !environment.containsKey(variable));
+        String source = fromFile ? key : variable;
+        String text = requireValue(fromFile ? fileValue : environment.get(variable), source, "an address and port");
         if (!text.matches("[^:]+:\\d{1,5}") || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > 65535) {
-            throw new InvalidConfigurationException(faulty, "is malformed: expected an address and port, got " + text);
+            throw new InvalidConfigurationException(source, "is malformed: expected an address and port, got " + text);
         }
         int colon = text.lastIndexOf(':');
         return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     /** What stands under the last word of the key, or the default; the whole key names it where its form is wrong. */
-    private static <T> T valueOrDefault(JsonObject json, String key, Class<T> form, T otherwise, String expected)
+    private static <T> T valueOrDefault(JsonObject json, String key, Class<T> type, T defaultValue, String expected)
             throws InvalidConfigurationException {
         Object value = json.getValue(key.substring(key.lastIndexOf('.') + 1));
-        if (value != null && !form.isInstance(value)) {
+        if (value != null && !type.isInstance(value)) {
             throw new InvalidConfigurationException(key, "is malformed: expected " + expected + ", got " + value);
         }
-        return value == null ? otherwise : form.cast(value);
+        return value == null ? defaultValue : type.cast(value);
     }
 
-    private static <T> T need(T value, String key, String expected) throws InvalidConfigurationException {
+    private static <T> T requireValue(T value, String key, String expected) throws InvalidConfigurationException {
         if (value == null) {
             throw new InvalidConfigurationException(key, "is missing: expected " + expected);
         }
         return value;
     }
 
-    private static double number(Map<String, String> ticket, String name) throws InvalidConfigurationException {
-        return number(need(ticket.get(name), "settings: " + name, "a number"), "settings: " + name);
+    private static double parseNumber(Map<String, String> flatSettings, String name)
+            throws InvalidConfigurationException {
+        return parseNumber(requireValue(flatSettings.get(name), "settings: " + name, "a number"), "settings: " + name);
     }
 
-    private static double number(String text, String key) throws InvalidConfigurationException {
+    private static double parseNumber(String text, String key) throws InvalidConfigurationException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -263,30 +274,33 @@
     }
 
     /** A list of names, or of objects that have one; the settings' places count from here. */
-    private static List<String> names(JsonObject settings, String key) throws InvalidConfigurationException {
+    private static List<String> readNames(JsonObject settings, String key) throws InvalidConfigurationException {
         return valueOrDefault(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
-                .map(item -> String.valueOf(item instanceof JsonObject named ? named.getValue("name") : item))
+                .map(item -> String.valueOf(item instanceof JsonObject object ? object.getValue("name") : item))
                 .toList();
     }
 
     /** Nested settings as the simulator writes them: paths, plain lists joined, lists of objects counted. */
-    private static void flatten(Object value, String path, Map<String, String> ticket) {
+    private static void flatten(Object value, String path, Map<String, String> flatSettings) {
         if (value instanceof JsonObject object) {
-            object.forEach(e -> flatten(e.getValue(), path.isEmpty() ? e.getKey() : path + "." + e.getKey(), ticket));
+            object.forEach(entry -> flatten(
+                    entry.getValue(), path.isEmpty() ? entry.getKey() : path + "." + entry.getKey(), flatSettings));
         } else if (value instanceof JsonArray list && list.stream().anyMatch(JsonObject.class::isInstance)) {
-            SettingsParser.putSetting(ticket, path + ".count", Integer.toString(list.size()));
+            SettingsParser.putSetting(flatSettings, path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
-                flatten(list.getValue(i), path + "." + i, ticket);
+                flatten(list.getValue(i), path + "." + i, flatSettings);
             }
         } else if (value instanceof JsonArray list) {
             SettingsParser.putSetting(
-                    ticket, path, list.stream().map(RelayConfiguration::plain).collect(Collectors.joining(",")));
+                    flatSettings,
+                    path,
+                    list.stream().map(RelayConfiguration::toSettingValue).collect(Collectors.joining(",")));
         } else if (value != null) {
-            SettingsParser.putSetting(ticket, path, plain(value));
+            SettingsParser.putSetting(flatSettings, path, toSettingValue(value));
         }
     }
 
-    private static String plain(Object value) {
+    private static String toSettingValue(Object value) {
         return String.valueOf(value).replaceAll("[ ,]", "_");
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -32,17 +32,17 @@
 /** Starts one relay, carries events to the reducer and its effects to their owners, and stops it. */
 public final class RelayServer {
     /** Longer than any client waits; the platform kills sooner. */
-    private static final long LONGEST_STOP_SECONDS = 30;
+    private static final long MAX_SHUTDOWN_SECONDS = 30;
 
     private final Vertx vertx;
-    private final Context loop;
-    private final SocketManager sockets;
-    private final RosterWatcher watch;
+    private final Context eventLoop;
+    private final SocketManager socketManager;
+    private final RosterWatcher rosterWatcher;
     private final Reducer reducer;
     private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
-    private final CountDownLatch done = new CountDownLatch(1);
-    private boolean busy;
-    private long timer = -1;
+    private final CountDownLatch stopped = new CountDownLatch(1);
+    private boolean isHandlingEvents;
+    private long reducerTimer = -1;
     /** Unix time at the start less the monotonic clock's: the one place where the two are tied. */
     private final long unixTimeOffsetNanos = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
@@ -51,53 +51,59 @@
 
     private RelayServer(
             Vertx vertx,
-            RelayConfiguration sheet,
-            PersistenceConfiguration durable,
-            StateStore keeper,
-            List<LogMessage> said) {
+            RelayConfiguration configuration,
+            PersistenceConfiguration persistence,
+            StateStore stateStore,
+            List<LogMessage> logMessages) {
         this.vertx = vertx;
-        loop = vertx.getOrCreateContext();
-        sockets = new SocketManager(vertx, sheet.connectTimeoutMillis(), sheet.names(), this::onNetworkEvent);
-        watch = new RosterWatcher(vertx, this::onNetworkEvent);
-        if (keeper == null) {
+        eventLoop = vertx.getOrCreateContext();
+        socketManager = new SocketManager(
+                vertx, configuration.connectTimeoutMillis(), configuration.names(), this::onNetworkEvent);
+        rosterWatcher = new RosterWatcher(vertx, this::onNetworkEvent);
+        if (stateStore == null) {
             statePersister = null;
-            reducer = new Reducer(sheet.values(), sheet.initialRoster(), now());
+            reducer = new Reducer(configuration.values(), configuration.initialRoster(), now());
         } else {
-            String rosterAt = sheet.values().rosterAddress().toString();
-            StateSnapshot kept = keeper.restore(now(), said);
-            Recovery.InitialState beginning =
-                    Recovery.recover(sheet.initialRoster(), kept, rosterAt, durable.maxFreshRosterAgeNanos(), now());
-            said.addAll(beginning.logMessages());
-            said.forEach(RelayServer::log);
-            keeper.setInitialRoster(rosterAt, beginning.rosterConfirmedAt(), beginning.roster());
+            String rosterAddress = configuration.values().rosterAddress().toString();
+            StateSnapshot snapshot = stateStore.restore(now(), logMessages);
+            Recovery.InitialState initialState = Recovery.recover(
+                    configuration.initialRoster(),
+                    snapshot,
+                    rosterAddress,
+                    persistence.maxFreshRosterAgeNanos(),
+                    now());
+            logMessages.addAll(initialState.logMessages());
+            logMessages.forEach(RelayServer::log);
+            stateStore.setInitialRoster(rosterAddress, initialState.rosterConfirmedAt(), initialState.roster());
             statePersister = new StatePersister(
                     vertx,
-                    keeper,
-                    durable.intervalNanos(),
+                    stateStore,
+                    persistence.intervalNanos(),
                     () -> handleEvent(new Event.LearnedStateRequested()),
-                    watch,
+                    rosterWatcher,
                     unixTimeOffsetNanos);
-            reducer = new Reducer(sheet.values(), beginning, true, Balancer::new, now());
+            reducer = new Reducer(configuration.values(), initialState, true, Balancer::new, now());
         }
     }
 
     /** Runs until the process is told to stop; on a bad sheet or a listen address in use, exit code 1. */
-    public static void run(Map<String, String> environment, Log.Format form, PersistenceConfiguration durable) {
-        RelayConfiguration sheet;
+    public static void run(
+            Map<String, String> environment, Log.Format logFormat, PersistenceConfiguration persistence) {
+        RelayConfiguration configuration;
         try {
-            sheet = RelayConfiguration.read(environment);
+            configuration = RelayConfiguration.read(environment);
         } catch (InvalidConfigurationException e) {
             exitWithError(e.getMessage());
             return;
         }
-        Log.configure(form, sheet.name());
-        List<LogMessage> said = new ArrayList<>();
-        StateStore keeper = null;
-        if (durable != null) {
+        Log.configure(logFormat, configuration.name());
+        List<LogMessage> logMessages = new ArrayList<>();
+        StateStore stateStore = null;
+        if (persistence != null) {
             try {
-                keeper = StateStore.open(durable, sheet.name(), said);
+                stateStore = StateStore.open(persistence, configuration.name(), logMessages);
             } catch (DirectoryInUseException e) {
-                exitWithError("durable.folder " + durable.directory() + " " + e.getMessage());
+                exitWithError("durable.folder " + persistence.directory() + " " + e.getMessage());
                 return;
             }
         }
@@ -111,33 +117,36 @@
                                 .setFileCachingEnabled(false)
                                 .setClassPathResolvingEnabled(false)))
                 .build();
-        RelayServer serve;
+        RelayServer server;
         try {
-            serve = new RelayServer(vertx, sheet, durable, keeper, said);
+            server = new RelayServer(vertx, configuration, persistence, stateStore, logMessages);
         } catch (IllegalArgumentException e) {
             exitWithError("settings: " + e.getMessage());
             return;
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
+        Runtime.getRuntime().addShutdownHook(new Thread(server::stop, "stop"));
         // Danger: unhandled, SIGHUP ends the JVM and with it all that is open.
         Signal.handle(
                 new Signal("HUP"),
-                signal -> serve.loop.runOnContext(v -> serve.reloadConfiguration(sheet, environment)));
-        serve.loop.runOnContext(v -> serve.start(sheet));
+                signal -> server.eventLoop.runOnContext(v -> server.reloadConfiguration(configuration, environment)));
+        server.eventLoop.runOnContext(v -> server.start(configuration));
     }
 
-    private static void exitWithError(String why) {
-        System.err.println("ambertrestle: " + why);
+    private static void exitWithError(String reason) {
+        System.err.println("ambertrestle: " + reason);
         Runtime.getRuntime().halt(1);
     }
 
-    private void start(RelayConfiguration sheet) {
-        sockets.listen(sheet.listenAddress().host(), sheet.listenAddress().port())
-                .onFailure(e ->
-                        exitWithError("BALANCER_LISTEN " + sheet.listenAddress().host() + ":"
-                                + sheet.listenAddress().port() + " cannot be listened on: " + e.getMessage()))
+    private void start(RelayConfiguration configuration) {
+        socketManager
+                .listen(
+                        configuration.listenAddress().host(),
+                        configuration.listenAddress().port())
+                .onFailure(e -> exitWithError(
+                        "BALANCER_LISTEN " + configuration.listenAddress().host() + ":"
+                                + configuration.listenAddress().port() + " cannot be listened on: " + e.getMessage()))
                 .onSuccess(v -> {
-                    Log.log(Level.INFO, "serves", sheet.name() + " serves");
+                    Log.log(Level.INFO, "serves", configuration.name() + " serves");
                     handleEvent(new Event.TimerFired());
                     if (statePersister != null) {
                         statePersister.start();
@@ -146,22 +155,22 @@
     }
 
     /** Told by SIGHUP: the file is read again; a faulty one changes nothing. */
-    private void reloadConfiguration(RelayConfiguration first, Map<String, String> environment) {
-        RelayConfiguration later;
+    private void reloadConfiguration(RelayConfiguration current, Map<String, String> environment) {
+        RelayConfiguration reloaded;
         try {
-            later = RelayConfiguration.read(environment);
+            reloaded = RelayConfiguration.read(environment);
         } catch (InvalidConfigurationException e) {
             Log.log(Level.WARNING, "reread-refused", "the configuration stays as it was: " + e.getMessage());
             return;
         }
-        List<String> keys = first.keysNeedingRestart(later);
+        List<String> keys = current.keysNeedingRestart(reloaded);
         Log.log(
                 Level.INFO,
                 "reread",
                 "the configuration was read again"
                         + (keys.isEmpty() ? "" : "; taken over only at the next start: " + String.join(", ", keys)));
         handleEvent(new Event.ConfigurationReloaded(
-                later.values().rosterAddress(), later.values().maxSockets()));
+                reloaded.values().rosterAddress(), reloaded.values().maxSockets()));
     }
 
     /** One that never goes back and reads like Unix time, so that what the roster tells needs no other. */
@@ -169,17 +178,17 @@
         return System.nanoTime() + unixTimeOffsetNanos;
     }
 
-    private void onNetworkEvent(NetworkEvent heard) {
-        handleEvent(new Event.NetworkEventReceived(heard));
+    private void onNetworkEvent(NetworkEvent networkEvent) {
+        handleEvent(new Event.NetworkEventReceived(networkEvent));
     }
 
     /** Effects may bring events at once; those wait until the event in hand is done. */
     private void handleEvent(Event event) {
         pendingEvents.add(event);
-        if (busy) {
+        if (isHandlingEvents) {
             return;
         }
-        busy = true;
+        isHandlingEvents = true;
         while (!pendingEvents.isEmpty()) {
             try {
                 for (Effect effect : reducer.apply(pendingEvents.poll(), now())) {
@@ -190,42 +199,43 @@
                 Log.logFailure("event-failed", "an event failed", e);
             }
         }
-        busy = false;
+        isHandlingEvents = false;
     }
 
-    static void log(LogMessage said) {
-        Log.log(said.isWarning() ? Level.WARNING : Level.INFO, said.event(), said.text(), said.fields());
+    static void log(LogMessage message) {
+        Log.log(message.isWarning() ? Level.WARNING : Level.INFO, message.event(), message.text(), message.fields());
     }
 
     private void execute(Effect effect) {
-        if (effect instanceof Effect.ExecuteCommand wire) {
-            if (wire.command() instanceof NetworkCommand.WatchRoster from) {
-                watch.watch(from.address(), from.fromVersion());
+        if (effect instanceof Effect.ExecuteCommand execution) {
+            if (execution.command() instanceof NetworkCommand.WatchRoster watchRoster) {
+                rosterWatcher.watch(watchRoster.address(), watchRoster.fromVersion());
             } else {
-                sockets.execute(wire.command());
+                socketManager.execute(execution.command());
             }
-        } else if (effect instanceof Effect.ScheduleTimer wake) {
-            vertx.cancelTimer(timer);
-            timer = vertx.setTimer(
-                    Math.max(1, (wake.time() - now() + 999_999) / 1_000_000), t -> handleEvent(new Event.TimerFired()));
-        } else if (effect instanceof Effect.WriteLog note) {
-            Log.log(Level.INFO, note.event(), note.text(), note.fields());
-        } else if (effect instanceof Effect.PersistLearnedState keep) {
-            statePersister.add(keep.part());
-        } else if (effect instanceof Effect.PersistRoster keep) {
-            statePersister.add(keep.message());
+        } else if (effect instanceof Effect.ScheduleTimer schedule) {
+            vertx.cancelTimer(reducerTimer);
+            reducerTimer = vertx.setTimer(
+                    Math.max(1, (schedule.time() - now() + 999_999) / 1_000_000),
+                    t -> handleEvent(new Event.TimerFired()));
+        } else if (effect instanceof Effect.WriteLog entry) {
+            Log.log(Level.INFO, entry.event(), entry.text(), entry.fields());
+        } else if (effect instanceof Effect.PersistLearnedState persist) {
+            statePersister.add(persist.part());
+        } else if (effect instanceof Effect.PersistRoster persist) {
+            statePersister.add(persist.message());
         } else if (effect instanceof Effect.Stop && statePersister != null) {
-            statePersister.stop(() -> vertx.setTimer(200, t -> done.countDown()));
+            statePersister.stop(() -> vertx.setTimer(200, t -> stopped.countDown()));
         } else if (effect instanceof Effect.Stop) {
-            vertx.setTimer(200, t -> done.countDown());
+            vertx.setTimer(200, t -> stopped.countDown());
         }
     }
 
     /** The JVM ends once this hook returns, so it waits until all that was taken is settled. */
     private void stop() {
-        loop.runOnContext(v -> handleEvent(new Event.ShutdownRequested()));
+        eventLoop.runOnContext(v -> handleEvent(new Event.ShutdownRequested()));
         try {
-            done.await(LONGEST_STOP_SECONDS, TimeUnit.SECONDS);
+            stopped.await(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
+++ b/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
@@ -20,102 +20,108 @@
     private static final long FINAL_WRITE_TIMEOUT_MILLIS = 1_000;
 
     private final Vertx vertx;
-    private final StateStore keeper;
-    private final long interval;
-    private final Runnable requestPart;
-    private final RosterWatcher watch;
+    private final StateStore stateStore;
+    private final long intervalNanos;
+    private final Runnable requestLearnedState;
+    private final RosterWatcher rosterWatcher;
     private final long unixTimeOffsetNanos;
     private final WorkerExecutor writerExecutor;
-    private StateChanges changes = new StateChanges();
-    private boolean gathering;
+    private StateChanges pendingChanges = new StateChanges();
+    private boolean isCollecting;
     /** Counts the parts that came. */
     private long receivedParts;
 
-    private boolean writing;
-    private long writingSince;
-    private boolean slowWriteLogged;
+    private boolean isWriting;
+    private long writeStartedAt;
+    private boolean isSlowWriteLogged;
     /** At the end: whether one more is owed, and what then follows; null while it serves. */
-    private boolean finalWritePending;
+    private boolean isFinalWritePending;
 
     private Runnable onStopped;
 
     /** `ask`: makes the reducer give a part, which comes back by {@link #add}. */
-    StatePersister(Vertx vertx, StateStore keeper, long interval, Runnable ask, RosterWatcher watch, long wallLess) {
+    StatePersister(
+            Vertx vertx,
+            StateStore stateStore,
+            long intervalNanos,
+            Runnable requestLearnedState,
+            RosterWatcher rosterWatcher,
+            long unixTimeOffsetNanos) {
         this.vertx = vertx;
-        this.keeper = keeper;
-        this.interval = interval;
-        this.requestPart = ask;
-        this.watch = watch;
-        this.unixTimeOffsetNanos = wallLess;
+        this.stateStore = stateStore;
+        this.intervalNanos = intervalNanos;
+        this.requestLearnedState = requestLearnedState;
+        this.rosterWatcher = rosterWatcher;
+        this.unixTimeOffsetNanos = unixTimeOffsetNanos;
         // Danger: in the one pool of Vert.x a stalled disk would hold up whatever else must wait there.
         writerExecutor = vertx.createSharedWorkerExecutor("durable", 1, 1, TimeUnit.HOURS);
     }
 
     /** Twice an interval, so that with a write under way the file that stands is still no older than one. */
     void start() {
-        vertx.setPeriodic(Math.max(1, interval / 2_000_000), t -> beginPersist());
+        vertx.setPeriodic(Math.max(1, intervalNanos / 2_000_000), t -> beginPersist());
         beginPersist();
     }
 
     private void beginPersist() {
-        if (writing && System.nanoTime() - writingSince > interval && !slowWriteLogged) {
-            slowWriteLogged = true;
+        if (isWriting && System.nanoTime() - writeStartedAt > intervalNanos && !isSlowWriteLogged) {
+            isSlowWriteLogged = true;
             Log.log(
                     Level.WARNING,
                     "state-late",
                     "a write of what is kept takes longer than durable.interval",
                     Map.of());
         }
-        if (!writing && !gathering) {
-            gathering = true;
-            askForPart();
+        if (!isWriting && !isCollecting) {
+            isCollecting = true;
+            requestNextPart();
         }
     }
 
     /** Danger: where the reducer fails, no part comes, and nothing would ever be kept again. */
-    private void askForPart() {
-        long parts = receivedParts;
-        requestPart.run();
-        gathering = gathering && receivedParts > parts;
+    private void requestNextPart() {
+        long partsBefore = receivedParts;
+        requestLearnedState.run();
+        isCollecting = isCollecting && receivedParts > partsBefore;
     }
 
     void add(LearnedState part) {
         receivedParts++;
-        changes.add(part);
+        pendingChanges.add(part);
         if (part.hasMore()) {
-            vertx.setTimer(1, t -> askForPart());
+            vertx.setTimer(1, t -> requestNextPart());
         } else {
-            gathering = false;
+            isCollecting = false;
             write();
         }
     }
 
     void add(RosterMessage message) {
-        changes.add(message);
+        pendingChanges.add(message);
     }
 
     private void write() {
-        StateChanges mine = changes;
-        changes = new StateChanges();
-        writing = true;
-        writingSince = System.nanoTime();
-        long now = writingSince + unixTimeOffsetNanos;
-        String heardFrom = watch.rosterConfirmedBy() == null
+        StateChanges changes = pendingChanges;
+        pendingChanges = new StateChanges();
+        isWriting = true;
+        writeStartedAt = System.nanoTime();
+        long now = writeStartedAt + unixTimeOffsetNanos;
+        String confirmedBy = rosterWatcher.rosterConfirmedBy() == null
                 ? null
-                : watch.rosterConfirmedBy().toString();
-        long heardAt = watch.rosterConfirmedAt() + unixTimeOffsetNanos;
+                : rosterWatcher.rosterConfirmedBy().toString();
+        long confirmedAt = rosterWatcher.rosterConfirmedAt() + unixTimeOffsetNanos;
         writerExecutor
-                .executeBlocking(() -> keeper.persist(mine, heardFrom, heardAt, now))
+                .executeBlocking(() -> stateStore.persist(changes, confirmedBy, confirmedAt, now))
                 .onComplete(result -> {
-                    writing = false;
-                    slowWriteLogged = false;
+                    isWriting = false;
+                    isSlowWriteLogged = false;
                     if (result.failed()) {
                         Log.logFailure("state-not-kept", "keeping failed", result.cause());
                     } else if (result.result() != null) {
                         RelayServer.log(result.result());
                     }
                     if (onStopped != null) {
-                        persistFinallyOrFinish();
+                        continueStop();
                     }
                 });
     }
@@ -123,27 +129,27 @@
     /**
      * Keeps once more, then runs that, after a second at the latest: a relay told to stop must not hang on its disk.
      */
-    void stop(Runnable then) {
-        boolean[] ran = new boolean[1];
-        Runnable once = () -> {
-            if (!ran[0]) {
-                ran[0] = true;
-                then.run();
+    void stop(Runnable onDone) {
+        boolean[] hasRun = new boolean[1];
+        Runnable runOnce = () -> {
+            if (!hasRun[0]) {
+                hasRun[0] = true;
+                onDone.run();
             }
         };
-        vertx.setTimer(FINAL_WRITE_TIMEOUT_MILLIS, t -> once.run());
-        onStopped = once;
-        finalWritePending = true;
+        vertx.setTimer(FINAL_WRITE_TIMEOUT_MILLIS, t -> runOnce.run());
+        onStopped = runOnce;
+        isFinalWritePending = true;
         // What asks for this is an event in hand, within which no part comes.
-        vertx.setTimer(1, t -> persistFinallyOrFinish());
+        vertx.setTimer(1, t -> continueStop());
     }
 
-    private void persistFinallyOrFinish() {
-        if (writing || gathering) {
+    private void continueStop() {
+        if (isWriting || isCollecting) {
             return;
         }
-        if (finalWritePending) {
-            finalWritePending = false;
+        if (isFinalWritePending) {
+            isFinalWritePending = false;
             beginPersist();
         } else {
             onStopped.run();
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -27,7 +27,7 @@
 
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
-    private final TomlTable top;
+    private final TomlTable root;
 
     /** One thing that is wrong, told as `file:line: key says what was expected`. */
     public record Fault(String file, int line, String key, String message) {
@@ -53,76 +53,78 @@
             return table.get(List.of(key)) != null;
         }
 
-        public String readText(String key, String otherwise) {
-            Object value = value(key, otherwise);
-            return value instanceof String text ? text : reportMalformed(key, value, otherwise, "a text in quotes");
+        public String readText(String key, String defaultValue) {
+            Object value = readValue(key, defaultValue);
+            return value instanceof String text ? text : reportMalformed(key, value, defaultValue, "a text in quotes");
         }
 
         /** One of the words. */
-        public String readChoice(String key, String otherwise, Collection<String> words) {
-            String said = readText(key, otherwise);
-            if (said != null && !words.contains(said)) {
+        public String readChoice(String key, String defaultValue, Collection<String> choices) {
+            String word = readText(key, defaultValue);
+            if (word != null && !choices.contains(word)) {
                 addFault(
                         key,
-                        "is not known: expected one of " + String.join(", ", words) + nearest(said, words) + ", got "
-                                + said);
-                return otherwise;
+                        "is not known: expected one of " + String.join(", ", choices) + suggestNearest(word, choices)
+                                + ", got " + word);
+                return defaultValue;
             }
-            return said;
+            return word;
         }
 
-        public boolean readBoolean(String key, boolean otherwise) {
-            Object value = value(key, otherwise);
-            return value instanceof Boolean flag ? flag : reportMalformed(key, value, otherwise, "true or false");
+        public boolean readBoolean(String key, boolean defaultValue) {
+            Object value = readValue(key, defaultValue);
+            return value instanceof Boolean flag ? flag : reportMalformed(key, value, defaultValue, "true or false");
         }
 
-        public long readLong(String key, Long otherwise, long least, long most) {
-            Object value = value(key, otherwise);
+        public long readLong(String key, Long defaultValue, long min, long max) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            if (value instanceof Long number && number >= least && number <= most) {
+            if (value instanceof Long number && number >= min && number <= max) {
                 return number;
             }
             return reportMalformed(
-                    key, value, otherwise == null ? least : otherwise, "a whole number from " + least + " to " + most);
+                    key, value, defaultValue == null ? min : defaultValue, "a whole number from " + min + " to " + max);
         }
 
-        public double readDouble(String key, Double otherwise, double least, double most) {
-            Object value = value(key, otherwise);
+        public double readDouble(String key, Double defaultValue, double min, double max) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+            if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
                 return number.doubleValue();
             }
             return reportMalformed(
                     key,
                     value,
-                    otherwise == null ? least : otherwise,
-                    "a number from " + plain(least) + " to " + plain(most));
+                    defaultValue == null ? min : defaultValue,
+                    "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
 
         /** A time as a text such as "250ms", "3s" or "2m"; in nanoseconds. */
-        public long readDurationNanos(String key, String otherwise) {
-            Object value = value(key, otherwise);
+        public long readDurationNanos(String key, String defaultValue) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            long nanos = value instanceof String text ? nanos(text) : INVALID_DURATION;
+            long nanos = value instanceof String text ? parseDurationNanos(text) : INVALID_DURATION;
             if (nanos == INVALID_DURATION) {
-                reportMalformed(key, value, otherwise, "a time such as \"250ms\", \"3s\" or \"2m\"");
-                return otherwise == null ? 0 : nanos(otherwise);
+                reportMalformed(key, value, defaultValue, "a time such as \"250ms\", \"3s\" or \"2m\"");
+                return defaultValue == null ? 0 : parseDurationNanos(defaultValue);
             }
             return nanos;
         }
 
-        public List<String> readTexts(String key, List<String> otherwise) {
-            Object value = value(key, otherwise);
+        public List<String> readStrings(String key, List<String> defaultValue) {
+            Object value = readValue(key, defaultValue);
             if (value instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)) {
                 return list.toList().stream().map(String.class::cast).toList();
             }
-            return value == otherwise ? otherwise : reportMalformed(key, value, otherwise, "a list of texts in quotes");
+            return value == defaultValue
+                    ? defaultValue
+                    : reportMalformed(key, value, defaultValue, "a list of texts in quotes");
         }
 
         /** The table under that name; an empty one where it is not there. */
@@ -132,62 +134,66 @@
             if (value != null && !(value instanceof TomlTable)) {
                 addFault(key, "is malformed: expected a table, got " + value);
             }
-            return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), path(key));
+            return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), pathOf(key));
         }
 
         /** The tables of the list under that name, written [[name]]. */
         public List<Table> readTables(String key) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
-            List<Table> parts = new ArrayList<>();
+            List<Table> tables = new ArrayList<>();
             if (value instanceof TomlArray list && list.toList().stream().allMatch(TomlTable.class::isInstance)) {
                 for (int i = 0; i < list.size(); i++) {
-                    parts.add(new Table(list.getTable(i), path(key) + "[" + (i + 1) + "]"));
+                    tables.add(new Table(list.getTable(i), pathOf(key) + "[" + (i + 1) + "]"));
                 }
             } else if (value != null) {
-                addFault(key, "is malformed: expected tables written [[" + path(key) + "]]");
+                addFault(key, "is malformed: expected tables written [[" + pathOf(key) + "]]");
             }
-            return parts;
+            return tables;
         }
 
         /** Faults every key that nobody asked for. */
         public void reportUnknownKeys() {
             for (String key : new TreeSet<>(table.keySet())) {
                 if (!requestedKeys.contains(key)) {
-                    addFault(key, "is not known" + nearest(key, requestedKeys));
+                    addFault(key, "is not known" + suggestNearest(key, requestedKeys));
                 }
             }
         }
 
-        public void addFault(String key, String what) {
-            TomlPosition at = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
-            faults.add(new Fault(file, at == null ? line() : at.line(), key.isEmpty() ? path : path(key), what));
+        public void addFault(String key, String message) {
+            TomlPosition position = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
+            faults.add(new Fault(
+                    file,
+                    position == null ? firstLine() : position.line(),
+                    key.isEmpty() ? path : pathOf(key),
+                    message));
         }
 
-        private int line() {
+        private int firstLine() {
             return table.keySet().stream()
                     .sorted()
-                    .map(k -> table.inputPositionOf(List.of(k)))
-                    .filter(p -> p != null)
+                    .map(key -> table.inputPositionOf(List.of(key)))
+                    .filter(position -> position != null)
                     .mapToInt(TomlPosition::line)
                     .min()
                     .orElse(1);
         }
 
-        private String path(String key) {
+        private String pathOf(String key) {
             return path.isEmpty() ? key : path + "." + key;
         }
 
-        private Object value(String key, Object otherwise) {
+        private Object readValue(String key, Object defaultValue) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
-            if (value == null && otherwise == null) {
+            if (value == null && defaultValue == null) {
                 addFault(key, "is missing");
             }
-            return value == null ? otherwise : value;
+            return value == null ? defaultValue : value;
         }
 
-        private <T> T reportMalformed(String key, Object value, T otherwise, String expected) {
+        private <T> T reportMalformed(String key, Object value, T defaultValue, String expected) {
             if (value != null) {
                 addFault(
                         key,
@@ -196,13 +202,13 @@
                                         ? "a table"
                                         : value instanceof TomlArray ? "a list" : value));
             }
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    private TomlDocument(String file, TomlTable top) {
+    private TomlDocument(String file, TomlTable root) {
         this.file = file;
-        this.top = top;
+        this.root = root;
     }
 
     /** Throws IOException, with a message fit to be shown, where the file cannot be read at all. */
@@ -218,83 +224,83 @@
 
     public static TomlDocument parse(String file, String text) {
         TomlParseResult result = Toml.parse(text);
-        TomlDocument sheet = new TomlDocument(file, result);
+        TomlDocument document = new TomlDocument(file, result);
         result.errors()
-                .forEach(e -> sheet.faults.add(new Fault(
+                .forEach(error -> document.faults.add(new Fault(
                         file,
-                        e.position().line(),
+                        error.position().line(),
                         "",
                         "is no TOML: "
-                                + String.valueOf(e.getMessage())
+                                + String.valueOf(error.getMessage())
                                         .lines()
                                         .findFirst()
                                         .orElse(""))));
-        return sheet;
+        return document;
     }
 
     public Table rootTable() {
-        return new Table(top, "");
+        return new Table(root, "");
     }
 
     /** In the order of their lines. */
     public List<Fault> faults() {
         List<Fault> sorted = new ArrayList<>(faults);
-        sorted.sort((x, y) -> Integer.compare(x.line(), y.line()));
+        sorted.sort((first, second) -> Integer.compare(first.line(), second.line()));
         return Collections.unmodifiableList(sorted);
     }
 
     /** Nanoseconds, or NO_LEAST for what is no time. */
-    private static long nanos(String text) {
-        java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
+    private static long parseDurationNanos(String text) {
+        java.util.regex.Matcher matcher = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
                 .matcher(text);
-        if (!m.matches()) {
+        if (!matcher.matches()) {
             return INVALID_DURATION;
         }
         double unit =
-                switch (m.group(2)) {
+                switch (matcher.group(2)) {
                     case "us" -> 1e3;
                     case "ms" -> 1e6;
                     case "s" -> 1e9;
                     case "m" -> 60e9;
                     default -> 3600e9;
                 };
-        return Math.round(Double.parseDouble(m.group(1)) * unit);
+        return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    private static String nearest(String said, Collection<String> known) {
-        String best = null;
-        int least = Math.max(2, said.length() / 2) + 1;
-        for (String word : known) {
-            int d = distance(said, word);
-            if (d < least) {
-                least = d;
-                best = word;
+    private static String suggestNearest(String word, Collection<String> candidates) {
+        String nearest = null;
+        int smallestDistance = Math.max(2, word.length() / 2) + 1;
+        for (String candidate : candidates) {
+            int distance = editDistance(word, candidate);
+            if (distance < smallestDistance) {
+                smallestDistance = distance;
+                nearest = candidate;
             }
         }
-        return best == null ? "" : "; the nearest known is " + best;
+        return nearest == null ? "" : "; the nearest known is " + nearest;
     }
 
     /** Levenshtein's. */
-    private static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
+    private static int editDistance(String from, String to) {
+        int[] row = new int[to.length() + 1];
+        for (int j = 0; j <= to.length(); j++) {
             row[j] = j;
         }
-        for (int i = 1; i <= a.length(); i++) {
+        for (int i = 1; i <= from.length(); i++) {
             int diagonal = row[0];
             row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int change = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+            for (int j = 1; j <= to.length(); j++) {
+                int substitution = diagonal + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
                 diagonal = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
+                row[j] = Math.min(substitution, 1 + Math.min(row[j], row[j - 1]));
             }
         }
-        return row[b.length()];
+        return row[to.length()];
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/Instance.java
+++ b/relay/src/main/java/ambertrestle/simhost/Instance.java
@@ -10,18 +10,20 @@
 
 /** One instance: its module, the associations it holds, and its timers. */
 final class Instance {
-    private record DelayedAssociation(long until, long order, Association association) {}
+    private record DelayedAssociation(long resumeAt, long sequence, Association association) {}
 
     final int number;
     final HashMap<Long, Association> associations = new HashMap<>();
     Balancer balancer;
     boolean isInBatch;
-    boolean stopped;
-    boolean crashed;
+    boolean isStopped;
+    boolean isCrashed;
     private final WireFormat.Reply reply;
-    private final PriorityQueue<DelayedAssociation> waiting = new PriorityQueue<>(
-            (x, y) -> x.until != y.until ? Long.compare(x.until, y.until) : Long.compare(x.order, y.order));
-    private long nextOrder;
+    private final PriorityQueue<DelayedAssociation> delayedAssociations =
+            new PriorityQueue<>((first, second) -> first.resumeAt != second.resumeAt
+                    ? Long.compare(first.resumeAt, second.resumeAt)
+                    : Long.compare(first.sequence, second.sequence));
+    private long nextSequence;
     /** The earliest timer that is set and has not fired, in nanoseconds. */
     private long nextTimerAt = Long.MAX_VALUE;
 
@@ -30,26 +32,26 @@
         this.reply = reply;
     }
 
-    void onArrival(Association a, long now) {
-        associations.put(a.id, a);
-        execute(a, balancer.selectBackend(a, now), now);
+    void onArrival(Association association, long now) {
+        associations.put(association.id, association);
+        execute(association, balancer.selectBackend(association, now), now);
     }
 
-    void onAttemptFinished(long id, int dispatch, DispatchOutcome outcome, boolean finished, long now) {
-        Association a = associations.get(id);
-        if (a == null) {
+    void onAttemptFinished(long id, int dispatch, DispatchOutcome outcome, boolean isFinished, long now) {
+        Association association = associations.get(id);
+        if (association == null) {
             return;
         }
-        execute(a, balancer.onDispatchFinished(a, dispatch, outcome, finished, now), now);
-        if (finished) {
+        execute(association, balancer.onDispatchFinished(association, dispatch, outcome, isFinished, now), now);
+        if (isFinished) {
             associations.remove(id);
         }
     }
 
     void onClientLeft(long id, long now) {
-        Association a = associations.remove(id);
-        if (a != null) {
-            balancer.onClientDisconnected(a, now);
+        Association association = associations.remove(id);
+        if (association != null) {
+            balancer.onClientDisconnected(association, now);
         }
     }
 
@@ -59,17 +61,17 @@
         }
     }
 
-    private void execute(Association a, Decision answer, long now) {
-        switch (answer.kind) {
-            case SEND -> reply.addDispatch(number, a.id, answer.backend, answer.time / 1000);
-            case WAIT -> waiting.add(new DelayedAssociation(answer.time, nextOrder++, a));
+    private void execute(Association association, Decision decision, long now) {
+        switch (decision.kind) {
+            case SEND -> reply.addDispatch(number, association.id, decision.backend, decision.time / 1000);
+            case WAIT -> delayedAssociations.add(new DelayedAssociation(decision.time, nextSequence++, association));
             case SHED -> {
-                reply.addRecordWithId(WireFormat.PUSH_BACK, number, a.id, answer.time / 1000);
-                associations.remove(a.id);
+                reply.addRecordWithLongAndInt(WireFormat.PUSH_BACK, number, association.id, decision.time / 1000);
+                associations.remove(association.id);
             }
             case FORFEIT -> {
-                reply.addRecordWithId(WireFormat.SURRENDER, number, a.id);
-                associations.remove(a.id);
+                reply.addRecordWithLong(WireFormat.SURRENDER, number, association.id);
+                associations.remove(association.id);
             }
             case NOTHING -> {}
         }
@@ -77,40 +79,43 @@
 
     /** Asks again for those that waited, does the chores that are due, and sets the next timer. */
     void onBatchFinished(long now) {
-        while (!waiting.isEmpty() && waiting.peek().until <= now) {
-            Association a = waiting.poll().association;
-            if (associations.get(a.id) == a) {
-                execute(a, balancer.selectBackend(a, now), now);
+        while (!delayedAssociations.isEmpty() && delayedAssociations.peek().resumeAt <= now) {
+            Association association = delayedAssociations.poll().association;
+            if (associations.get(association.id) == association) {
+                execute(association, balancer.selectBackend(association, now), now);
             }
         }
-        DueActions chores = balancer.pollDueActions(now);
-        switch (chores.rosterCall) {
+        DueActions dueActions = balancer.pollDueActions(now);
+        switch (dueActions.rosterCall) {
             case WATCH -> reply.addRecordWithByte(WireFormat.TRACK, number, 1);
             case FETCH -> reply.addRecord(WireFormat.GET_LIST, number);
             case NONE -> {}
         }
-        for (int i = 0; i < chores.backendsToProbe.size(); i++) {
-            reply.addRecordWithBackend(WireFormat.INSPECT, number, chores.backendsToProbe.get(i));
+        for (int i = 0; i < dueActions.backendsToProbe.size(); i++) {
+            reply.addRecordWithBackendId(WireFormat.INSPECT, number, dueActions.backendsToProbe.get(i));
         }
-        for (int i = 0; i < chores.connectionsToMove.size(); i++) {
-            reply.addRecordWithId(WireFormat.EVICT, number, chores.connectionsToMove.get(i).id);
+        for (int i = 0; i < dueActions.connectionsToMove.size(); i++) {
+            reply.addRecordWithLong(WireFormat.EVICT, number, dueActions.connectionsToMove.get(i).id);
         }
-        for (int i = 0; i < chores.logMessages.size(); i++) {
-            reply.addRecordWithText(WireFormat.EMIT, number, chores.logMessages.get(i));
+        for (int i = 0; i < dueActions.logMessages.size(); i++) {
+            reply.addRecordWithText(WireFormat.EMIT, number, dueActions.logMessages.get(i));
         }
-        if (chores.peerMessage != null) {
-            reply.addPublish(number, chores.peerMessage);
+        if (dueActions.peerMessage != null) {
+            reply.addPeerMessage(number, dueActions.peerMessage);
         }
-        long next = waiting.isEmpty() ? chores.wakeAt : Math.min(chores.wakeAt, waiting.peek().until);
-        if (next < nextTimerAt) {
-            nextTimerAt = next;
-            reply.addRecordWithId(WireFormat.SET_TIMER, number, (next + 999) / 1000, 0);
+        long wakeAt = delayedAssociations.isEmpty()
+                ? dueActions.wakeAt
+                : Math.min(dueActions.wakeAt, delayedAssociations.peek().resumeAt);
+        if (wakeAt < nextTimerAt) {
+            nextTimerAt = wakeAt;
+            reply.addRecordWithLongAndInt(WireFormat.SET_TIMER, number, (wakeAt + 999) / 1000, 0);
         }
     }
 
-    void reportCrash(RuntimeException e) {
-        crashed = true;
-        StackTraceElement[] trace = e.getStackTrace();
-        reply.addRecordWithText(WireFormat.CRASH, number, e + (trace.length > 0 ? " at " + trace[0] : ""));
+    void reportCrash(RuntimeException failure) {
+        isCrashed = true;
+        StackTraceElement[] stackTrace = failure.getStackTrace();
+        reply.addRecordWithText(
+                WireFormat.CRASH, number, failure + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/SimHost.java
+++ b/relay/src/main/java/ambertrestle/simhost/SimHost.java
@@ -23,10 +23,10 @@
     private final InputStream in;
     private final OutputStream out;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
-    private final List<Instance> touched = new ArrayList<>();
+    private final List<Instance> batchInstances = new ArrayList<>();
     private final WireFormat.Reply reply = new WireFormat.Reply();
     private ByteBuffer frame = allocateBuffer(1 << 16);
-    private final byte[] head = new byte[4];
+    private final byte[] lengthField = new byte[4];
 
     public SimHost(InputStream in, OutputStream out) {
         this.in = in;
@@ -38,33 +38,34 @@
     }
 
     public void run() throws IOException {
-        long frames = 0;
+        long frameNumber = 0;
         while (true) {
-            int got = in.readNBytes(head, 0, 4);
-            if (got == 0) {
+            int lengthBytes = in.readNBytes(lengthField, 0, 4);
+            if (lengthBytes == 0) {
                 return;
             }
-            long length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
-            if (got < 4 || length < 12 || length > Integer.MAX_VALUE - 16) {
+            long length =
+                    ByteBuffer.wrap(lengthField).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
+            if (lengthBytes < 4 || length < 12 || length > Integer.MAX_VALUE - 16) {
                 throw new WireFormatException(
-                        got < 4
-                                ? "frame " + frames + " is cut short in its length field"
-                                : "frame " + frames + " has a length of " + length);
+                        lengthBytes < 4
+                                ? "frame " + frameNumber + " is cut short in its length field"
+                                : "frame " + frameNumber + " has a length of " + length);
             }
             if (frame.capacity() < length) {
                 frame = allocateBuffer((int) length);
             }
-            int read = in.readNBytes(frame.array(), 0, (int) length);
-            if (read < length) {
+            int bytesRead = in.readNBytes(frame.array(), 0, (int) length);
+            if (bytesRead < length) {
                 throw new WireFormatException(
-                        "frame " + frames + " is cut short: " + read + " of " + length + " bytes");
+                        "frame " + frameNumber + " is cut short: " + bytesRead + " of " + length + " bytes");
             }
             frame.limit((int) length);
             processBatch(new WireFormat.Batch(frame));
             out.write(reply.toFrame());
             out.flush();
             frame.clear();
-            frames++;
+            frameNumber++;
         }
     }
 
@@ -85,7 +86,7 @@
                 throw new WireFormatException(batch.describePosition() + ": this instance is not up");
             }
             if (event == WireFormat.STOP) {
-                instance.stopped = true;
+                instance.isStopped = true;
                 instances.remove(number);
                 last = null;
                 continue;
@@ -93,9 +94,9 @@
             last = instance;
             if (!instance.isInBatch) {
                 instance.isInBatch = true;
-                touched.add(instance);
+                batchInstances.add(instance);
             }
-            if (instance.crashed) {
+            if (instance.isCrashed) {
                 continue;
             }
             try {
@@ -106,10 +107,10 @@
                 instance.reportCrash(e);
             }
         }
-        for (int i = 0; i < touched.size(); i++) {
-            Instance instance = touched.get(i);
+        for (int i = 0; i < batchInstances.size(); i++) {
+            Instance instance = batchInstances.get(i);
             instance.isInBatch = false;
-            if (!instance.stopped && !instance.crashed) {
+            if (!instance.isStopped && !instance.isCrashed) {
                 try {
                     instance.onBatchFinished(now);
                 } catch (RuntimeException e) {
@@ -117,106 +118,106 @@
                 }
             }
         }
-        touched.clear();
+        batchInstances.clear();
     }
 
-    private void handleRecord(WireFormat.Batch b, int event, Instance instance, long now) {
+    private void handleRecord(WireFormat.Batch batch, int event, Instance instance, long now) {
         Balancer balancer = instance.balancer;
         switch (event) {
             case WireFormat.UP -> {
-                long seed = b.u64(3);
-                instance.balancer = new Balancer(SettingsParser.parse(b.tailBytes(11)), seed, now);
+                long seed = batch.u64(3);
+                instance.balancer = new Balancer(SettingsParser.parse(batch.tailBytes(11)), seed, now);
             }
             case WireFormat.ARRIVAL -> {
-                int bits = b.u8(45);
+                int flags = batch.u8(45);
                 instance.onArrival(
                         new Association(
-                                b.u64(3),
-                                b.u16(11),
-                                b.i32(13),
-                                b.u64(17),
-                                b.u64(37),
-                                b.u64(25) * 1000,
-                                (bits & 1) != 0 ? b.u32(33) * 1000.0 : 0,
-                                (bits & 8) != 0,
-                                (bits & 16) != 0),
+                                batch.u64(3),
+                                batch.u16(11),
+                                batch.i32(13),
+                                batch.u64(17),
+                                batch.u64(37),
+                                batch.u64(25) * 1000,
+                                (flags & 1) != 0 ? batch.u32(33) * 1000.0 : 0,
+                                (flags & 8) != 0,
+                                (flags & 16) != 0),
                         now);
             }
             case WireFormat.TAKEN_OVER -> {
-                int bits = b.u8(51);
-                Association a = new Association(
-                        b.u64(3),
-                        b.u16(19),
-                        b.i32(43),
-                        b.u64(29),
-                        b.u64(21),
-                        b.u64(11) * 1000,
-                        (bits & 1) != 0 ? b.u32(47) * 1000.0 : 0,
-                        (bits & 8) != 0,
-                        (bits & 16) != 0);
-                instance.associations.put(a.id, a);
-                balancer.onConnectionAdopted(a, b.backend(37), now);
+                int flags = batch.u8(51);
+                Association association = new Association(
+                        batch.u64(3),
+                        batch.u16(19),
+                        batch.i32(43),
+                        batch.u64(29),
+                        batch.u64(21),
+                        batch.u64(11) * 1000,
+                        (flags & 1) != 0 ? batch.u32(47) * 1000.0 : 0,
+                        (flags & 8) != 0,
+                        (flags & 16) != 0);
+                instance.associations.put(association.id, association);
+                balancer.onConnectionAdopted(association, batch.backendId(37), now);
             }
             case WireFormat.FIRED -> instance.onTimer(now);
             case WireFormat.SETTLED -> instance.onAttemptFinished(
-                    b.u64(3), b.u8(12), outcome(b, 19), b.u8(11) != 0, now);
-            case WireFormat.DISCOVERY -> handleRoster(b, balancer, now);
+                    batch.u64(3), batch.u8(12), decodeOutcome(batch, 19), batch.u8(11) != 0, now);
+            case WireFormat.DISCOVERY -> handleRoster(batch, balancer, now);
             case WireFormat.UPDATE_OF -> {
-                Association a = instance.associations.get(b.u64(3));
-                if (b.u8(18) == 1) {
-                    if (a != null) {
-                        balancer.onLoadReport(a, b.f32(19) * 1000.0, now);
+                Association association = instance.associations.get(batch.u64(3));
+                if (batch.u8(18) == 1) {
+                    if (association != null) {
+                        balancer.onLoadReport(association, batch.f32(19) * 1000.0, now);
                     }
-                } else if (b.u8(18) == 2) {
-                    balancer.onDelayReport(b.backend(12), (long) (b.f32(19) * 1e6), now);
+                } else if (batch.u8(18) == 2) {
+                    balancer.onDelayReport(batch.backendId(12), (long) (batch.f32(19) * 1e6), now);
                 }
             }
-            case WireFormat.EXPIRED -> instance.onClientLeft(b.u64(3), now);
+            case WireFormat.EXPIRED -> instance.onClientLeft(batch.u64(3), now);
             case WireFormat.ESTABLISHED -> {
-                Association a = instance.associations.get(b.u64(3));
-                if (a != null) {
-                    balancer.onConnectionEstablished(a, b.u8(21), b.u32(11) * 1000, now);
+                Association association = instance.associations.get(batch.u64(3));
+                if (association != null) {
+                    balancer.onConnectionEstablished(association, batch.u8(21), batch.u32(11) * 1000, now);
                 }
             }
             case WireFormat.HEALTH, WireFormat.FROM_PEER -> {} // asked for by no chore of the module
-            default -> throw new WireFormatException(b.describePosition() + ": no such event");
+            default -> throw new WireFormatException(batch.describePosition() + ": no such event");
         }
     }
 
-    private static DispatchOutcome outcome(WireFormat.Batch b, int offset) {
-        int code = b.u8(offset);
+    private static DispatchOutcome decodeOutcome(WireFormat.Batch batch, int offset) {
+        int code = batch.u8(offset);
         if (code >= OUTCOMES.length) {
-            throw new WireFormatException(b.describePosition() + ": no such outcome " + code);
+            throw new WireFormatException(batch.describePosition() + ": no such outcome " + code);
         }
         return OUTCOMES[code];
     }
 
-    private static void handleRoster(WireFormat.Batch b, Balancer balancer, long now) {
-        int form = b.u8(3);
-        if (form > 3) {
-            throw new WireFormatException(b.describePosition() + ": no such roster form " + form);
+    private static void handleRoster(WireFormat.Batch batch, Balancer balancer, long now) {
+        int updateKind = batch.u8(3);
+        if (updateKind > 3) {
+            throw new WireFormatException(batch.describePosition() + ": no such roster form " + updateKind);
         }
-        if (form == 3) {
+        if (updateKind == 3) {
             balancer.onRosterCallFailed(now);
             return;
         }
-        int at = b.tailOffset(8, WireFormat.ROSTER_ENTRY_BYTES);
-        int n = b.i32(12);
-        List<RosterEntry> lines = new ArrayList<>(n);
-        for (int i = 0; i < n; i++, at += WireFormat.ROSTER_ENTRY_BYTES) {
-            int stage = b.bytes.get(at + 10) & 0xff;
-            if (stage >= STAGES.length) {
-                throw new WireFormatException(b.describePosition() + ": no such stage " + stage);
-            }
-            lines.add(new RosterEntry(
-                    b.backendAt(at + 11),
-                    STAGES[stage],
-                    b.bytes.getLong(at) * 1000,
-                    b.bytes.getShort(at + 8) & 0xffff,
-                    b.bytes.getFloat(at + 17),
-                    b.bytes.getShort(at + 21) & 0xffff,
-                    b.bytes.getShort(at + 23) & 0xffff));
+        int entryOffset = batch.tailOffset(8, WireFormat.ROSTER_ENTRY_BYTES);
+        int count = batch.i32(12);
+        List<RosterEntry> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++, entryOffset += WireFormat.ROSTER_ENTRY_BYTES) {
+            int stageCode = batch.bytes.get(entryOffset + 10) & 0xff;
+            if (stageCode >= STAGES.length) {
+                throw new WireFormatException(batch.describePosition() + ": no such stage " + stageCode);
+            }
+            entries.add(new RosterEntry(
+                    batch.backendIdAt(entryOffset + 11),
+                    STAGES[stageCode],
+                    batch.bytes.getLong(entryOffset) * 1000,
+                    batch.bytes.getShort(entryOffset + 8) & 0xffff,
+                    batch.bytes.getFloat(entryOffset + 17),
+                    batch.bytes.getShort(entryOffset + 21) & 0xffff,
+                    batch.bytes.getShort(entryOffset + 23) & 0xffff));
         }
-        balancer.onRosterUpdate(lines, form != 0, form == 2, now);
+        balancer.onRosterUpdate(entries, updateKind != 0, updateKind == 2, now);
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/WireFormat.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormat.java
@@ -45,11 +45,11 @@
         final ByteBuffer bytes;
         final long clockUs;
         final int recordCount;
-        private final int tail;
+        private final int tailStart;
         /** Where the record in hand starts. */
         int recordOffset;
 
-        private int index;
+        private int recordIndex;
 
         Batch(ByteBuffer bytes) {
             this.bytes = bytes;
@@ -60,12 +60,12 @@
                         + (bytes.limit() - 12) / EVENT_BYTES);
             }
             recordCount = (int) count;
-            tail = 12 + recordCount * EVENT_BYTES;
+            tailStart = 12 + recordCount * EVENT_BYTES;
         }
 
-        int selectRecord(int record) {
-            index = record;
-            recordOffset = 12 + record * EVENT_BYTES;
+        int selectRecord(int index) {
+            recordIndex = index;
+            recordOffset = 12 + index * EVENT_BYTES;
             return u8(0);
         }
 
@@ -94,23 +94,23 @@
         }
 
         /** Address and port as one number, bytes in the order of the wire. */
-        long backend(int offset) {
-            return backendAt(recordOffset + offset);
+        long backendId(int offset) {
+            return backendIdAt(recordOffset + offset);
         }
 
-        long backendAt(int where) {
-            return (bytes.getInt(where) & 0xffffffffL) | (bytes.getShort(where + 4) & 0xffffL) << 32;
+        long backendIdAt(int position) {
+            return (bytes.getInt(position) & 0xffffffffL) | (bytes.getShort(position + 4) & 0xffffL) << 32;
         }
 
         /** Where the tail part that the field names starts, each of its items `size` bytes long. */
-        int tailOffset(int offset, int size) {
+        int tailOffset(int offset, int itemBytes) {
             long start = u32(offset);
-            long end = start + u32(offset + 4) * size;
-            if (tail + end > bytes.limit()) {
+            long end = start + u32(offset + 4) * itemBytes;
+            if (tailStart + end > bytes.limit()) {
                 throw new WireFormatException(describePosition() + " refers to tail bytes " + start + " to " + end
-                        + " but the tail holds " + (bytes.limit() - tail));
+                        + " but the tail holds " + (bytes.limit() - tailStart));
             }
-            return tail + (int) start;
+            return tailStart + (int) start;
         }
 
         byte[] tailBytes(int offset) {
@@ -121,7 +121,7 @@
         }
 
         String describePosition() {
-            return "batch at clock " + clockUs + ", record " + index + " (event " + u8(0) + ", instance " + u16(1)
+            return "batch at clock " + clockUs + ", record " + recordIndex + " (event " + u8(0) + ", instance " + u16(1)
                     + ")";
         }
     }
@@ -130,19 +130,20 @@
     static final class Reply {
         private ByteBuffer records = growBuffer(ByteBuffer.allocate(0), 64 * ACTION_BYTES);
         private ByteBuffer tail = growBuffer(ByteBuffer.allocate(0), 256);
-        private int count;
+        private int recordCount;
         private final byte[] emptyRecord = new byte[ACTION_BYTES];
 
-        private static ByteBuffer growBuffer(ByteBuffer from, int size) {
-            ByteBuffer to = ByteBuffer.wrap(Arrays.copyOf(from.array(), size)).order(ByteOrder.LITTLE_ENDIAN);
-            to.position(from.position());
-            return to;
+        private static ByteBuffer growBuffer(ByteBuffer source, int size) {
+            ByteBuffer copy =
+                    ByteBuffer.wrap(Arrays.copyOf(source.array(), size)).order(ByteOrder.LITTLE_ENDIAN);
+            copy.position(source.position());
+            return copy;
         }
 
         void clear() {
             records.clear();
             tail.clear();
-            count = 0;
+            recordCount = 0;
         }
 
         private ByteBuffer startRecord(int code, int instance) {
@@ -152,11 +153,11 @@
             int start = records.position();
             records.put(emptyRecord);
             records.put(start, (byte) code).putShort(start + 1, (short) instance);
-            count++;
+            recordCount++;
             return records;
         }
 
-        private int start() {
+        private int lastRecordStart() {
             return records.position() - ACTION_BYTES;
         }
 
@@ -165,55 +166,61 @@
         }
 
         void addRecordWithByte(int code, int instance, int value) {
-            startRecord(code, instance).put(start() + 3, (byte) value);
+            startRecord(code, instance).put(lastRecordStart() + 3, (byte) value);
         }
 
-        void addRecordWithBackend(int code, int instance, long backend) {
+        void addRecordWithBackendId(int code, int instance, long backendId) {
             startRecord(code, instance);
-            backend(3, backend);
+            putBackendId(3, backendId);
         }
 
-        void addRecordWithId(int code, int instance, long id) {
-            startRecord(code, instance).putLong(start() + 3, id);
+        void addRecordWithLong(int code, int instance, long value) {
+            startRecord(code, instance).putLong(lastRecordStart() + 3, value);
         }
 
-        void addRecordWithId(int code, int instance, long id, long value) {
-            startRecord(code, instance).putLong(start() + 3, id).putInt(start() + 11, (int) value);
+        void addRecordWithLongAndInt(int code, int instance, long value, long intValue) {
+            startRecord(code, instance).putLong(lastRecordStart() + 3, value).putInt(lastRecordStart() + 11, (int)
+                    intValue);
         }
 
-        void addDispatch(int instance, long id, long backend, long withinUs) {
-            startRecord(HAND_OFF, instance).putLong(start() + 3, id).putInt(start() + 17, (int) withinUs);
-            backend(11, backend);
+        void addDispatch(int instance, long associationId, long backendId, long timeoutUs) {
+            startRecord(HAND_OFF, instance)
+                    .putLong(lastRecordStart() + 3, associationId)
+                    .putInt(lastRecordStart() + 17, (int) timeoutUs);
+            putBackendId(11, backendId);
         }
 
-        void addRecordWithBytes(int code, int instance, int fieldAt, byte[] bytes) {
+        void addRecordWithBytes(int code, int instance, int fieldOffset, byte[] bytes) {
             while (tail.remaining() < bytes.length) {
                 tail = growBuffer(tail, tail.capacity() * 2);
             }
-            startRecord(code, instance).putInt(start() + fieldAt, tail.position());
-            records.putInt(start() + fieldAt + 4, bytes.length);
+            startRecord(code, instance).putInt(lastRecordStart() + fieldOffset, tail.position());
+            records.putInt(lastRecordStart() + fieldOffset + 4, bytes.length);
             tail.put(bytes);
         }
 
-        void addPublish(int instance, byte[] bytes) {
+        void addPeerMessage(int instance, byte[] bytes) {
             addRecordWithBytes(PUBLISH, instance, 7, bytes);
-            records.putInt(start() + 3, -1);
+            records.putInt(lastRecordStart() + 3, -1);
         }
 
         void addRecordWithText(int code, int instance, String text) {
             addRecordWithBytes(code, instance, 3, text.getBytes(StandardCharsets.UTF_8));
         }
 
-        private void backend(int offset, long backend) {
-            records.putInt(start() + offset, (int) backend);
-            records.putShort(start() + offset + 4, (short) (backend >>> 32));
+        private void putBackendId(int offset, long backendId) {
+            records.putInt(lastRecordStart() + offset, (int) backendId);
+            records.putShort(lastRecordStart() + offset + 4, (short) (backendId >>> 32));
         }
 
         /** The whole frame; valid until the next call. */
         byte[] toFrame() {
-            int body = records.position() + tail.position();
-            byte[] frame = new byte[8 + body];
-            ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN).putInt(count).putInt(body);
+            int bodyBytes = records.position() + tail.position();
+            byte[] frame = new byte[8 + bodyBytes];
+            ByteBuffer.wrap(frame)
+                    .order(ByteOrder.LITTLE_ENDIAN)
+                    .putInt(recordCount)
+                    .putInt(bodyBytes);
             System.arraycopy(records.array(), 0, frame, 8, records.position());
             System.arraycopy(tail.array(), 0, frame, 8 + records.position(), tail.position());
             return frame;
--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -18,38 +18,38 @@
 import picocli.CommandLine;
 
 class CliTest {
-    private static final Path REHEARSAL = Path.of("..", "deploy", "rehearsal.json");
+    private static final Path SHIPPED_CONFIGURATION = Path.of("..", "deploy", "rehearsal.json");
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        CommandLine line = Cli.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
-        return line.execute(args);
+        CommandLine commandLine = Cli.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
+        return commandLine.execute(args);
     }
 
-    private Path file(String name, String text) throws Exception {
-        Path file = dir.resolve(name);
+    private Path writeFile(String name, String text) throws Exception {
+        Path file = directory.resolve(name);
         Files.writeString(file, text);
         return file;
     }
 
-    private Path roster(int backends, String status) throws Exception {
-        JsonArray list = new JsonArray();
+    private Path writeRoster(int backends, String status) throws Exception {
+        JsonArray endpoints = new JsonArray();
         IntStream.rangeClosed(1, backends)
-                .forEach(i -> list.add(new JsonObject()
-                        .put("name", "s-" + i)
-                        .put("address", "127.0.0.1:" + i)
+                .forEach(number -> endpoints.add(new JsonObject()
+                        .put("name", "s-" + number)
+                        .put("address", "127.0.0.1:" + number)
                         .put("status", status)));
-        return file(
+        return writeFile(
                 "roster.json",
                 new JsonObject()
                         .put("index", 1)
                         .put("snapshot", true)
-                        .put("endpoints", list)
+                        .put("endpoints", endpoints)
                         .encode());
     }
 
@@ -69,7 +69,7 @@
         assertThat(run(
                         "check",
                         "--config",
-                        REHEARSAL.toString(),
+                        SHIPPED_CONFIGURATION.toString(),
                         "--operator",
                         Path.of("..", "deploy", "operator.toml").toString()))
                 .isZero();
@@ -78,12 +78,12 @@
 
     @Test
     void checkReportsEveryFaultOfBothFilesByLineAndKey() throws Exception {
-        String json = Files.readString(REHEARSAL)
+        String json = Files.readString(SHIPPED_CONFIGURATION)
                 .replace("\"seed\": \"1\"", "\"seed\": \"x1\"")
                 .replace("\"sockets\": 256", "\"sockets\": 12")
                 .replace("\"cutOffUs\": 1000000", "\"cutOffUs\": \"soon\"");
-        Path config = file("config.json", json);
-        Path operator = file("operator.toml", "# mine\n[log]\nformat = \"xml\"\nlevle = 3\n[lgo]\n");
+        Path config = writeFile("config.json", json);
+        Path operator = writeFile("operator.toml", "# mine\n[log]\nformat = \"xml\"\nlevle = 3\n[lgo]\n");
         assertThat(run("check", "--config", config.toString(), "--operator", operator.toString()))
                 .isEqualTo(1);
         assertThat(err.toString().lines())
@@ -98,40 +98,50 @@
 
     @Test
     void checkReportsLineOfSyntaxError() throws Exception {
-        Path config = file("config.json", "{\"name\": \"a\",\n\"seed\" \"1\"}");
-        Path operator = file("operator.toml", "[log]\nformat = = 1\n");
+        Path config = writeFile("config.json", "{\"name\": \"a\",\n\"seed\" \"1\"}");
+        Path operator = writeFile("operator.toml", "[log]\nformat = = 1\n");
         assertThat(run("check", "--config", config.toString(), "--operator", operator.toString()))
                 .isEqualTo(1);
         assertThat(err.toString())
                 .contains(config + ":2: is not JSON from here on")
                 .contains(operator + ":2: is no TOML");
-        assertThat(run("check", "--config", dir.resolve("nowhere.json").toString()))
+        assertThat(run("check", "--config", directory.resolve("nowhere.json").toString()))
                 .isEqualTo(1);
         assertThat(err.toString()).contains("nowhere.json:1: cannot be read");
     }
 
     @Test
     void checkReportsFaultsThatOnlyTheBalancerDetects() throws Exception {
-        Path config = file("config.json", Files.readString(REHEARSAL).replace("\"drainGraceUs\": 1000000, ", ""));
-        assertThat(run("check", "--config", config.toString())).isEqualTo(1);
+        Path missingKey = writeFile(
+                "config.json", Files.readString(SHIPPED_CONFIGURATION).replace("\"drainGraceUs\": 1000000, ", ""));
+        assertThat(run("check", "--config", missingKey.toString())).isEqualTo(1);
         assertThat(err.toString()).contains("rules.drainGrace is missing");
-        Path flag = file(
+        Path malformedFlag = writeFile(
                 "flag.json",
-                Files.readString(REHEARSAL)
+                Files.readString(SHIPPED_CONFIGURATION)
                         .replace("\"drainGraceUs\"", "\"onlyDrainingBinds\": \"perhaps\", \"drainGraceUs\""));
-        assertThat(run("check", "--config", flag.toString())).isEqualTo(1);
+        assertThat(run("check", "--config", malformedFlag.toString())).isEqualTo(1);
         assertThat(err.toString()).contains("rules.onlyDrainingBinds is not known: perhaps");
-        Path silent = file(
+        Path malformedNumber = writeFile(
                 "silent.json",
-                Files.readString(REHEARSAL).replace("\"drainGraceUs\"", "\"askWithinUs\": \"soon\", \"drainGraceUs\""));
-        assertThat(run("check", "--config", silent.toString())).isEqualTo(1);
+                Files.readString(SHIPPED_CONFIGURATION)
+                        .replace("\"drainGraceUs\"", "\"askWithinUs\": \"soon\", \"drainGraceUs\""));
+        assertThat(run("check", "--config", malformedNumber.toString())).isEqualTo(1);
         assertThat(err.toString()).contains("rules.askWithin is not a number: soon");
     }
 
     @Test
     void placePrintsBackendThatFreshRelaysSelect() throws Exception {
-        Path roster = roster(20, "in_service");
-        assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", roster.toString(), "ff", "1", "ff"))
+        Path roster = writeRoster(20, "in_service");
+        assertThat(run(
+                        "place",
+                        "--config",
+                        SHIPPED_CONFIGURATION.toString(),
+                        "--roster",
+                        roster.toString(),
+                        "ff",
+                        "1",
+                        "ff"))
                 .isZero();
         List<String> lines = out.toString().lines().toList();
         assertThat(lines).hasSize(3);
@@ -141,35 +151,50 @@
 
     /** Nothing that one key does may move another: all at once as each alone. */
     @Test
-    void keysAreIndependent() throws Exception {
-        RelayConfiguration sheet = RelayConfiguration.read(Map.of("BALANCER_CONFIG", REHEARSAL.toString()));
-        var message = ambertrestle.relay.wire.RosterMessage.decode(
-                new JsonObject(Files.readString(roster(50, "in_service"))));
-        PlacementPreview together = new PlacementPreview(sheet.values(), message, 1);
+    void placementOfOneKeyDoesNotDependOnOtherKeys() throws Exception {
+        RelayConfiguration configuration =
+                RelayConfiguration.read(Map.of("BALANCER_CONFIG", SHIPPED_CONFIGURATION.toString()));
+        var rosterMessage = ambertrestle.relay.wire.RosterMessage.decode(
+                new JsonObject(Files.readString(writeRoster(50, "in_service"))));
+        PlacementPreview sharedPreview = new PlacementPreview(configuration.values(), rosterMessage, 1);
         for (long key = 1; key < 300; key++) {
-            assertThat(together.selectBackend(key))
-                    .isEqualTo(new PlacementPreview(sheet.values().withSeed(key), message, 1).selectBackend(key));
+            assertThat(sharedPreview.selectBackend(key))
+                    .isEqualTo(new PlacementPreview(configuration.values().withSeed(key), rosterMessage, 1)
+                            .selectBackend(key));
         }
     }
 
     @Test
     void placePrintsDashWithoutBackendAndRejectsMalformedKey() throws Exception {
-        Path none = roster(0, "in_service");
-        assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", none.toString(), "ab"))
+        Path emptyRoster = writeRoster(0, "in_service");
+        assertThat(run("place", "--config", SHIPPED_CONFIGURATION.toString(), "--roster", emptyRoster.toString(), "ab"))
                 .isZero();
         assertThat(out.toString().strip()).isEqualTo("ab -");
-        assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", none.toString(), "ab", "xyz"))
+        assertThat(run(
+                        "place",
+                        "--config",
+                        SHIPPED_CONFIGURATION.toString(),
+                        "--roster",
+                        emptyRoster.toString(),
+                        "ab",
+                        "xyz"))
                 .isEqualTo(1);
         assertThat(err.toString()).contains("key 2 is malformed: expected 1 to 16 digits of hex, not 0, got xyz");
-        Path wrong = roster(1, "asleep");
-        assertThat(run("place", "--config", REHEARSAL.toString(), "--roster", wrong.toString(), "ab"))
+        Path malformedRoster = writeRoster(1, "asleep");
+        assertThat(run(
+                        "place",
+                        "--config",
+                        SHIPPED_CONFIGURATION.toString(),
+                        "--roster",
+                        malformedRoster.toString(),
+                        "ab"))
                 .isEqualTo(1);
         assertThat(err.toString()).contains("is no roster: status of s-1 is not known");
     }
 
     @Test
     void serveRejectsFaultyOperatorFileBeforeStart() throws Exception {
-        Path operator = file("operator.toml", "[log]\nformat = 3\n");
+        Path operator = writeFile("operator.toml", "[log]\nformat = 3\n");
         assertThat(run("serve", "--operator", operator.toString())).isEqualTo(1);
         assertThat(err.toString())
                 .contains("operator.toml:2: log.format is malformed: expected a text in quotes, got 3");
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -21,10 +21,10 @@
 
 /** What an operator types and reads about what is kept. */
 class StateCommandTest {
-    private static final long AT = 1_700_000_000_000_000_000L;
+    private static final long SNAPSHOT_TIME = 1_700_000_000_000_000_000L;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -36,42 +36,43 @@
                 .execute(args);
     }
 
-    private static StateSnapshot picture() {
-        long a = RosterMessage.backendId("a");
+    private static StateSnapshot sampleSnapshot() {
+        long backendId = RosterMessage.backendId("a");
         return new StateSnapshot(
                 "r",
                 "d:1",
-                AT,
-                AT,
+                SNAPSHOT_TIME,
+                SNAPSHOT_TIME,
                 new RosterMessage(
                         41, true, List.of(new RosterMessage.Entry("a", "10.0.0.1:80", Stage.READY, "w", "m", 0, 1, 0))),
                 new LearnedState(
                         1,
                         new RelayStatistics(22, 10_000_000_000L, 5e6, 0, 0, 0),
-                        List.of(new BackendStatistics(a, 0, AT, 1, 8, 4, 40_000_000, AT, 0)),
-                        List.of(new Pin(-7, a, Pin.IN_USE), new Pin(8, a, AT)),
+                        List.of(new BackendStatistics(
+                                backendId, 0, SNAPSHOT_TIME, 1, 8, 4, 40_000_000, SNAPSHOT_TIME, 0)),
+                        List.of(new Pin(-7, backendId, Pin.IN_USE), new Pin(8, backendId, SNAPSHOT_TIME)),
                         false));
     }
 
-    private Path file(byte[] bytes) throws Exception {
-        return Files.write(dir.resolve("state-000000000000000001"), bytes);
+    private Path writeStateFile(byte[] bytes) throws Exception {
+        return Files.write(directory.resolve("state-000000000000000001"), bytes);
     }
 
-    private List<String> faults(String durable) throws Exception {
-        Path file = Files.writeString(dir.resolve("operator.toml"), "[durable]\n" + durable);
+    private List<String> faultsOfDurableTable(String keys) throws Exception {
+        Path file = Files.writeString(directory.resolve("operator.toml"), "[durable]\n" + keys);
         try {
             OperatorConfiguration.read(file);
             return List.of();
         } catch (OperatorConfiguration.InvalidOperatorFileException e) {
             return e.faults().stream()
-                    .map(f -> f.toString().replace(file + ":", "").replace(dir.toString(), "DIR"))
+                    .map(fault -> fault.toString().replace(file + ":", "").replace(directory.toString(), "DIR"))
                     .toList();
         }
     }
 
     @Test
     void verifiesAndShowsValidFile() throws Exception {
-        Path file = file(StateFileCodec.encode(picture()));
+        Path file = writeStateFile(StateFileCodec.encode(sampleSnapshot()));
         assertThat(run("state", "verify", file.toString())).isZero();
         assertThat(out.toString()).contains("whole, kept by r at 2023-11-14T22:13:20Z: 1 backends, 1 judged, 2 pins");
         assertThat(run("state", "show", "--pins", file.toString())).isZero();
@@ -84,33 +85,33 @@
 
     @Test
     void reportsTruncatedFileWithReasonAndExitCodeOne() throws Exception {
-        byte[] whole = StateFileCodec.encode(picture());
-        Path file = file(java.util.Arrays.copyOf(whole, whole.length - 9));
+        byte[] complete = StateFileCodec.encode(sampleSnapshot());
+        Path file = writeStateFile(java.util.Arrays.copyOf(complete, complete.length - 9));
         assertThat(run("state", "verify", file.toString())).isEqualTo(1);
         assertThat(err.toString())
-                .isEqualTo("ambertrestle: " + file + " is cut off: " + (whole.length - 41) + " of "
-                        + (whole.length - 32) + " bytes" + System.lineSeparator());
-        assertThat(run("state", "show", dir.resolve("none").toString())).isEqualTo(1);
+                .isEqualTo("ambertrestle: " + file + " is cut off: " + (complete.length - 41) + " of "
+                        + (complete.length - 32) + " bytes" + System.lineSeparator());
+        assertThat(run("state", "show", directory.resolve("none").toString())).isEqualTo(1);
         assertThat(err.toString()).contains("none cannot be read");
         assertThat(run("state")).isEqualTo(2);
     }
 
     @Test
     void reportsEachFaultyKeyOfDurableTable() throws Exception {
-        assertThat(faults("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
-        assertThat(faults("folder = \"" + dir.resolve("none") + "\"\n"))
+        assertThat(faultsOfDurableTable("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
+        assertThat(faultsOfDurableTable("folder = \"" + directory.resolve("none") + "\"\n"))
                 .containsExactly(
                         "2: durable.folder is not there: expected a folder that outlives the relay, got DIR/none");
-        String fine = "folder = \"" + dir + "\"\n";
-        assertThat(faults(fine)).isEmpty();
-        assertThat(faults(fine + "most-age = \"-5s\"\n"))
+        String validFolder = "folder = \"" + directory + "\"\n";
+        assertThat(faultsOfDurableTable(validFolder)).isEmpty();
+        assertThat(faultsOfDurableTable(validFolder + "most-age = \"-5s\"\n"))
                 .containsExactly(
                         "3: durable.most-age is malformed: expected a time such as \"250ms\", \"3s\" or \"2m\", got -5s");
-        assertThat(faults(fine + "interval = \"50ms\"\n"))
+        assertThat(faultsOfDurableTable(validFolder + "interval = \"50ms\"\n"))
                 .containsExactly("3: durable.interval is malformed: expected a time from 100ms to 1h");
-        assertThat(faults(fine + "interval = \"10s\"\nmost-age = \"10s\"\n"))
+        assertThat(faultsOfDurableTable(validFolder + "interval = \"10s\"\nmost-age = \"10s\"\n"))
                 .containsExactly("4: durable.most-age is malformed: expected more than interval");
-        assertThat(faults(fine + "most-megabytes = 0\nsize = 3\n"))
+        assertThat(faultsOfDurableTable(validFolder + "most-megabytes = 0\nsize = 3\n"))
                 .containsExactly(
                         "3: durable.most-megabytes is malformed: expected a whole number from 1 to 1024, got 0",
                         "4: durable.size is not known; the nearest known is sure");
--- a/relay/src/test/java/ambertrestle/relay/server/LogTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/LogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-    private static List<String> logged(Formatter formatter, Runnable what) {
+    private static List<String> formatLogged(Formatter formatter, Runnable action) {
         List<String> lines = new ArrayList<>();
         Handler handler = new Handler() {
             @Override
@@ -31,14 +31,14 @@
         Logger logger = Logger.getLogger("ambertrestle");
         logger.addHandler(handler);
         try {
-            what.run();
+            action.run();
         } finally {
             logger.removeHandler(handler);
         }
         return lines;
     }
 
-    private static void garbled() {
+    private static void logSampleEvent() {
         Log.log(
                 System.Logger.Level.INFO,
                 "backend-garbled",
@@ -48,7 +48,7 @@
 
     @Test
     void formatsTextLineWithTimeLevelEventMessageAndFields() {
-        assertThat(logged(new Log.TextFormatter(), LogTest::garbled))
+        assertThat(formatLogged(new Log.TextFormatter(), LogTest::logSampleEvent))
                 .singleElement()
                 .asString()
                 .matches(
@@ -58,7 +58,7 @@
 
     @Test
     void formatsJsonLineAsOneObject() {
-        List<String> lines = logged(new Log.JsonFormatter(), LogTest::garbled);
+        List<String> lines = formatLogged(new Log.JsonFormatter(), LogTest::logSampleEvent);
         assertThat(lines).singleElement().asString().doesNotContain("\n ");
         JsonObject json = new JsonObject(lines.get(0));
         assertThat(json.getString("event")).isEqualTo("backend-garbled");
@@ -71,7 +71,7 @@
 
     @Test
     void putsStackTraceOfFailureInOneField() {
-        assertThat(logged(
+        assertThat(formatLogged(
                         new Log.JsonFormatter(),
                         () -> Log.logFailure("event-failed", "an event failed", new IllegalStateException("why"))))
                 .singleElement()
@@ -83,7 +83,7 @@
     /** What libraries log has no event of ours. */
     @Test
     void usesLoggerNameAsEventOfLibraryMessages() {
-        assertThat(logged(new Log.TextFormatter(), () -> Logger.getLogger("ambertrestle.other")
+        assertThat(formatLogged(new Log.TextFormatter(), () -> Logger.getLogger("ambertrestle.other")
                         .log(java.util.logging.Level.WARNING, "{0} left", 3)))
                 .singleElement()
                 .asString()
--- a/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RelayConfigurationTest {
-    private static final String GOOD =
+    private static final String VALID_CONFIGURATION =
             """
         {"name":"n3","listen":"127.0.0.1:80","discovery":"127.0.0.2:85","seed":"ff00000000000001",
          "limits":{"sockets":200},"strange":1,
@@ -28,29 +28,29 @@
         """;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
     private RelayConfiguration read(String json) throws Exception {
         return RelayConfiguration.read(Map.of(
                 "BALANCER_CONFIG",
-                Files.writeString(dir.resolve("c.json"), json).toString(),
+                Files.writeString(directory.resolve("c.json"), json).toString(),
                 "BALANCER_LISTEN",
                 "127.0.0.5:81"));
     }
 
     @Test
     void readsValidConfiguration() throws Exception {
-        RelayConfiguration sheet = read(GOOD);
-        assertThat(sheet.listenAddress()).isEqualTo(new Address("127.0.0.5", 81));
-        assertThat(sheet.connectTimeoutMillis()).isEqualTo(150);
-        assertThat(sheet.initialRoster().entries().get(0).stage()).isEqualTo(Stage.DRAINING);
-        assertThat(sheet.values().seed()).isEqualTo(0xff00000000000001L);
-        assertThat(sheet.names()).isEqualTo(new ConfiguredNames(List.of("read it"), List.of("x")));
-        assertThat(sheet.values().cutOffs()).containsExactly(2_000_000L);
-        assertThat(sheet.values().messageGoalTime()).isEqualTo(60_000);
-        assertThat(sheet.values().maxSockets()).isEqualTo(136);
-        assertThat(sheet.values().isPassThrough()).isTrue();
-        assertThat(sheet.values().settings())
+        RelayConfiguration configuration = read(VALID_CONFIGURATION);
+        assertThat(configuration.listenAddress()).isEqualTo(new Address("127.0.0.5", 81));
+        assertThat(configuration.connectTimeoutMillis()).isEqualTo(150);
+        assertThat(configuration.initialRoster().entries().get(0).stage()).isEqualTo(Stage.DRAINING);
+        assertThat(configuration.values().seed()).isEqualTo(0xff00000000000001L);
+        assertThat(configuration.names()).isEqualTo(new ConfiguredNames(List.of("read it"), List.of("x")));
+        assertThat(configuration.values().cutOffs()).containsExactly(2_000_000L);
+        assertThat(configuration.values().messageGoalTime()).isEqualTo(60_000);
+        assertThat(configuration.values().maxSockets()).isEqualTo(136);
+        assertThat(configuration.values().isPassThrough()).isTrue();
+        assertThat(configuration.values().settings())
                 .containsEntry("relays", "4")
                 .containsEntry("useCases.count", "1")
                 .containsEntry("useCases.0.effect", "retriable")
@@ -72,28 +72,32 @@
                 "\"discovery\":\"127.0.0.2:85\" | \"discovery\":\"here\" "
                         + "| discovery is malformed: expected an address and port, got here"
             })
-    void reportsFaultyKey(String part, String broken, String message) {
-        assertThat(GOOD).contains(part);
-        assertThatThrownBy(() -> read(GOOD.replace(part, broken))).hasMessage(message);
+    void reportsFaultyKey(String original, String replacement, String message) {
+        assertThat(VALID_CONFIGURATION).contains(original);
+        assertThatThrownBy(() -> read(VALID_CONFIGURATION.replace(original, replacement)))
+                .hasMessage(message);
     }
 
     @Test
     void reloadTakesRosterAddressFromFileAndListsKeysNeedingRestart() throws Exception {
-        RelayConfiguration first = read(GOOD);
-        String moved = GOOD.replace("127.0.0.2:85", "127.0.0.3:86").replace("\"sockets\":200", "\"sockets\":300");
+        RelayConfiguration current = read(VALID_CONFIGURATION);
+        String changedJson = VALID_CONFIGURATION
+                .replace("127.0.0.2:85", "127.0.0.3:86")
+                .replace("\"sockets\":200", "\"sockets\":300");
         Map<String, String> environment = Map.of(
                 "BALANCER_DISCOVERY",
                 "127.0.0.2:85",
                 "BALANCER_LISTEN",
                 "127.0.0.5:81",
                 "BALANCER_CONFIG",
-                Files.writeString(dir.resolve("d.json"), moved).toString());
-        RelayConfiguration later = RelayConfiguration.read(environment);
-        assertThat(later.values().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
-        assertThat(later.values().maxSockets()).isEqualTo(236);
-        assertThat(first.keysNeedingRestart(later)).isEmpty();
-        assertThat(first.keysNeedingRestart(
-                        read(GOOD.replace("\"siblings\":4", "\"siblings\":5").replace("n3", "n4"))))
+                Files.writeString(directory.resolve("d.json"), changedJson).toString());
+        RelayConfiguration reloaded = RelayConfiguration.read(environment);
+        assertThat(reloaded.values().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
+        assertThat(reloaded.values().maxSockets()).isEqualTo(236);
+        assertThat(current.keysNeedingRestart(reloaded)).isEmpty();
+        assertThat(current.keysNeedingRestart(read(VALID_CONFIGURATION
+                        .replace("\"siblings\":4", "\"siblings\":5")
+                        .replace("n3", "n4"))))
                 .containsExactly("name", "settings");
     }
 
