--- a/relay/src/main/java/ambertrestle/Main.java
+++ b/relay/src/main/java/ambertrestle/Main.java
@@ -7,18 +7,16 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 
-/** Starts what the command line names. */
+/** Entry point of the daemon. The most frequent commands bypass the command line parser. */
 public final class Main {
     private Main() {}
 
     public static void main(String[] args) {
-        // Danger: a relay restarts with part of a core while clients wait; it does not pay for reading options it has
-        // not.
+        // Parsing options would delay a restarted relay, which has only part of a core while clients wait for it.
         if (args.length == 1 && args[0].equals("serve")) {
             RelayServer.run(System.getenv(), Log.Format.TEXT, null);
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
-            // The same for the one option that a relay which keeps its state is always started with: a fifth of its
-            // start.
+            // A relay that persists its state always has this option. Parsing it would take a fifth of the start.
             OperatorConfiguration operatorConfiguration =
                     Cli.readOperatorConfiguration(Path.of(args[2]), new PrintWriter(System.err, true));
             if (operatorConfiguration == null) {
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -34,7 +34,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 fine, 1 faulty input or a start that failed, 2 wrong usage, 143 told to stop by
+ * The command line of the daemon. Exit codes: 0 success, 1 faulty input or failed start, 2 wrong usage, 143 ended by
  * SIGTERM.
  */
 @Command(
@@ -49,12 +49,12 @@
             Cli.PlaceCommand.class,
             StateCommand.class
         },
-        footer = {"", "Exit codes: 0 fine; 1 faulty input, or a start that failed; 2 wrong usage; 143 ended by SIGTERM."
-        })
+        footer = {"", "Exit codes: 0 success; 1 faulty input or failed start; 2 wrong usage; 143 ended by SIGTERM."})
 public final class Cli implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
+    /** The parser and executor of all commands. */
     public static CommandLine commandLine() {
         return new CommandLine(new Cli()).setCaseInsensitiveEnumValuesAllowed(true);
     }
@@ -65,7 +65,7 @@
         return 2;
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, description = "One relay on real sockets, until SIGTERM.")
+    @Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs one relay until SIGTERM.")
     static final class ServeCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -73,19 +73,19 @@
         @Option(
                 names = "--config",
                 paramLabel = "FILE",
-                description = "The configuration, JSON; default: $BALANCER_CONFIG.")
+                description = "The configuration, in JSON; default: $BALANCER_CONFIG.")
         private String configurationFile;
 
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "The operator file, TOML; default: none, nothing more is on.")
+                description = "The operator file, in TOML; default: none, optional features are off.")
         private Path operatorFile;
 
         @Option(
                 names = "--log-format",
                 paramLabel = "text|json",
-                description = "How the log is written; default: text.")
+                description = "Format of the log; default: the operator file's, else text.")
         private Log.Format logFormat;
 
         @Override
@@ -104,7 +104,7 @@
                     environment,
                     logFormat != null ? logFormat : operatorConfiguration.logFormat(),
                     operatorConfiguration.persistence());
-            // The JVM ends by signal, or by a start that failed; this thread has nothing more to do.
+            // Waits forever: a signal or a failed start ends the JVM, and returning would end it now.
             Thread.currentThread().join();
             return 0;
         }
@@ -113,7 +113,7 @@
     @Command(
             name = "simhost",
             mixinStandardHelpOptions = true,
-            description = "Many relays on the simulator's wire: standard input and output.")
+            description = "Runs relays for the simulator, on its protocol over standard input and output.")
     static final class SimHostCommand implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Null where it is faulty, which `err` was told by file, line and key. */
+    /** Reads the operator file; if it is faulty, prints each fault to `err` and returns null. */
     public static OperatorConfiguration readOperatorConfiguration(Path path, PrintWriter err) {
         try {
             return OperatorConfiguration.read(path);
@@ -133,7 +133,7 @@
         return null;
     }
 
-    /** Plays the simulator's batches; gives the exit code. */
+    /** Processes the simulator's batches until standard input ends; returns the exit code. */
     public static int runSimHost() {
         try {
             FileOutputStream out = new FileOutputStream(FileDescriptor.out);
@@ -151,7 +151,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads the configuration and an operator file, names every fault by file, line and key, and starts nothing.")
+                    "Checks the configuration and an operator file, and prints every fault with file, line and key. Starts nothing.")
     static final class CheckCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -159,10 +159,10 @@
         @Option(
                 names = "--config",
                 paramLabel = "FILE",
-                description = "The configuration, JSON; default: $BALANCER_CONFIG, where it is set.")
+                description = "The configuration, in JSON; default: $BALANCER_CONFIG, if it is set.")
         private String configurationFile;
 
-        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, TOML.")
+        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, in TOML.")
         private Path operatorFile;
 
         @Override
@@ -173,7 +173,7 @@
                 environment.put("BALANCER_CONFIG", configurationFile);
             }
             if (operatorFile == null && environment.get("BALANCER_CONFIG") == null) {
-                err.println("ambertrestle: nothing to check: give --config, --operator or BALANCER_CONFIG");
+                err.println("ambertrestle: nothing to check: expected --config, --operator or BALANCER_CONFIG");
                 return 2;
             }
             List<String> faults = new ArrayList<>();
@@ -201,7 +201,7 @@
             name = "place",
             mixinStandardHelpOptions = true,
             description =
-                    "Says for each key which backend a relay just started would pick: one `key backend` a line, `-` for none.")
+                    "Prints for each key the backend that a newly started relay would select: one `key backend` per line, `-` for none.")
     static final class PlaceCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -210,19 +210,19 @@
                 names = "--config",
                 paramLabel = "FILE",
                 required = true,
-                description = "The configuration whose settings hold, JSON.")
+                description = "The configuration whose settings apply, in JSON.")
         private String configurationFile;
 
         @Option(
                 names = "--roster",
                 paramLabel = "FILE",
                 description =
-                        "The list of backends in the roster service's form, JSON; default: `known` of the configuration.")
+                        "The roster, in the JSON format of the roster service; default: `known` of the configuration.")
         private Path rosterFile;
 
         @Parameters(
                 paramLabel = "KEY",
-                description = "Keys, up to 64 bits of hex each; none: one a line from standard input.")
+                description = "Keys, up to 64 bits of hex each; default: one per line from standard input.")
         private List<String> keys = new ArrayList<>();
 
         @Override
@@ -231,6 +231,7 @@
             RelayConfiguration configuration;
             RosterMessage rosterMessage;
             try {
+                // Nothing connects to these addresses; a configuration may leave them to the environment.
                 configuration = RelayConfiguration.read(Map.of(
                         "BALANCER_CONFIG",
                         configurationFile,
@@ -251,7 +252,7 @@
                 err.println("ambertrestle: " + rosterFile + " is not JSON");
                 return 1;
             } catch (IllegalArgumentException e) {
-                err.println("ambertrestle: " + rosterFile + " is no roster: " + e.getMessage());
+                err.println("ambertrestle: " + rosterFile + " is not a valid roster: " + e.getMessage());
                 return 1;
             }
             PlacementPreview preview =
--- a/relay/src/main/java/ambertrestle/cli/StateCommand.java
+++ b/relay/src/main/java/ambertrestle/cli/StateCommand.java
@@ -22,11 +22,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a relay kept, read for a person; a file is only ever read here. */
+/** Prints and checks state files of a relay. Never changes them. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
-        description = "Reads a file of the folder that [durable] names.",
+        description = "Reads a state file, from the folder that [durable] of the operator file names.",
         subcommands = {StateCommand.ShowCommand.class, StateCommand.VerifyCommand.class})
 final class StateCommand implements Callable<Integer> {
     @Spec
@@ -38,7 +38,7 @@
         return 2;
     }
 
-    /** Says on standard error why not; null then. */
+    /** Reads a state file; if that fails, prints the reason to standard error and returns null. */
     private static StateSnapshot readSnapshot(CommandSpec spec, Path file) {
         try {
             return StateFileCodec.decode(Files.readAllBytes(file));
@@ -50,6 +50,7 @@
         return null;
     }
 
+    /** The time in UTC; "never" for 0. */
     private static String formatTime(long unixNanos) {
         return unixNanos <= 0
                 ? "never"
@@ -59,7 +60,7 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Exit code 0 where the file is whole and readable, 1 and the reason where not.")
+            description = "Exits with 0 if the file is complete and valid; else prints the reason and exits with 1.")
     static final class VerifyCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -92,7 +93,7 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description =
-                    "What the file holds, and what each judgment would weigh now; pins only by number, or all with --pins.")
+                    "Prints the file's roster, the learned state of each backend with its weight at its present age, and the number of pins.")
     static final class ShowCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -100,7 +101,7 @@
         @Parameters(paramLabel = "FILE")
         private Path file;
 
-        @Option(names = "--pins", description = "List each pin: key, backend, end of its last connection.")
+        @Option(names = "--pins", description = "Print each pin: key, backend, end of its last connection.")
         private boolean listPins;
 
         @Override
@@ -114,6 +115,15 @@
         }
     }
 
+    /**
+     * Prints a snapshot. Scripts compare the labels and columns: "carried" is the rate of completed connections,
+     * "heard" the last confirmation of the roster, and the table "judged" has for each backend its decayed counts of
+     * successful set-ups (stood), failures (failed) and failures with a shared cause (slow), its reported delay (late
+     * ms) and the weight that its counts have now.
+     *
+     * @param listPins whether to print each pin, or only their number
+     * @param now Unix time in nanoseconds, for ages and weights
+     */
     static void printSnapshot(StateSnapshot snapshot, PrintWriter out, boolean listPins, long now) {
         LearnedState learnedState = snapshot.learnedState();
         Map<Long, String> nameById = new HashMap<>();
--- a/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
+++ b/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
@@ -11,11 +11,14 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** In which line of a JSON file each key stands, so that a fault can be told by its place. */
+/** Maps the keys of a JSON text to line numbers, so that configuration faults can be reported with their line. */
 final class JsonLineIndex {
+    /** Line of each value by its path, in lower case: names joined by dots, array elements by their index from 0. */
     private final Map<String, Integer> lineByPath = new HashMap<>();
+
     private int syntaxErrorLine;
 
+    /** Indexes the text up to its end or up to its first syntax error. */
     JsonLineIndex(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
@@ -32,7 +35,7 @@
         }
     }
 
-    /** Where the text stops being JSON; 0 where it does not. */
+    /** The line of the first syntax error, from 1; 0 if the text is valid JSON. */
     int syntaxErrorLine() {
         return syntaxErrorLine;
     }
@@ -45,10 +48,14 @@
         return context.inRoot() ? "" : parent == null || parent.inRoot() ? segment : pathOf(parent) + "." + segment;
     }
 
-    /** The line of a key as a fault names it, else that of the nearest table that holds it, else the first. */
+    /**
+     * Returns the line of a key as faults name it, such as `settings: limits.connectTimeout`. If the file doesn't have
+     * the key, returns the line of the nearest enclosing object that it has, else 1.
+     */
     int lineOf(String key) {
         String path = key.replace("settings: ", "settings.").toLowerCase(Locale.ROOT);
         while (true) {
+            // Keys of durations end in "Us" in the file, but not in faults.
             for (String suffix : new String[] {"", "us"}) {
                 if (lineByPath.containsKey(path + suffix)) {
                     return lineByPath.get(path + suffix);
--- a/relay/src/main/java/ambertrestle/relay/server/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/server/Log.java
@@ -17,26 +17,28 @@
 import java.util.logging.LogRecord;
 
 /**
- * What a relay logs: one line a happening on standard error, with time, level, event name, words, and named fields.
- * System.Logger is the face, the JDK's own logging stands behind it, and Jackson writes JSON; only text is loaded at a
- * start that asks for no JSON.
+ * The log of a relay: one line per event on standard error, with time, level, event name, message and named fields.
+ * Messages go through System.Logger to java.util.logging. Jackson writes the JSON format; its classes are loaded only
+ * if that format is selected.
  */
 public final class Log {
-    /** How lines are written. */
+    /** TEXT: one line of plain text per event. JSON: one JSON object per line. */
     public enum Format {
         TEXT,
         JSON
     }
 
     private static final Logger LOG = System.getLogger("ambertrestle");
-    /** Rides on a log record as its parameter. */
+
+    /** Event name and fields of a message, passed as the only parameter of its log record. */
     private record LogEvent(String event, Map<String, String> fields) {}
 
+    /** The value of the field `relay` in JSON lines. */
     private static String relayName = "";
 
     private Log() {}
 
-    /** Before the first line; `name` is the relay's, a field of every line in JSON. */
+    /** Sets the format of all lines and the relay's name. To be called before the first message. */
     static void configure(Format format, String name) {
         relayName = name;
         Formatter formatter = format == Format.JSON ? new JsonFormatter() : new TextFormatter();
@@ -45,6 +47,7 @@
         }
     }
 
+    /** Logs a message that is written as it is: braces in it are not placeholders. */
     static void log(Level level, String event, String message, Map<String, String> fields) {
         LOG.log(level, message, new LogEvent(event, fields));
     }
@@ -53,13 +56,14 @@
         log(level, event, message, Map.of());
     }
 
+    /** Logs at level ERROR, with the stack trace in the field `trace`. */
     static void logFailure(String event, String message, Throwable failure) {
         StringWriter stackTrace = new StringWriter();
         failure.printStackTrace(new PrintWriter(stackTrace));
         log(Level.ERROR, event, message, Map.of("trace", stackTrace.toString().strip()));
     }
 
-    /** Lines of libraries have no happening: their logger's name stands for the event. */
+    /** The event of a record. Messages of libraries have none; the name of their logger is used as the event name. */
     private static LogEvent eventOf(LogRecord record) {
         Object[] parameters = record.getParameters();
         return parameters != null && parameters.length == 1 && parameters[0] instanceof LogEvent logEvent
@@ -67,12 +71,14 @@
                 : new LogEvent(String.valueOf(record.getLoggerName()), Map.of());
     }
 
+    /** The level's name, with ERROR in place of SEVERE. */
     private static String levelName(LogRecord record) {
         return record.getLevel().intValue() >= java.util.logging.Level.SEVERE.intValue()
                 ? "ERROR"
                 : record.getLevel().getName();
     }
 
+    /** Writes `time LEVEL event: message field=value ...`; a stack trace follows on lines of its own. */
     static final class TextFormatter extends Formatter {
         private static final DateTimeFormatter TIME =
                 DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
@@ -101,6 +107,7 @@
         }
     }
 
+    /** Writes one JSON object per line, with time, level, event, relay and message before the other fields. */
     static final class JsonFormatter extends Formatter {
         private final JsonFactory factory = new JsonFactory();
 
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -9,14 +9,21 @@
 import java.util.Locale;
 
 /**
- * What operators switch on beside the platform's configuration, in a TOML file of their own; the one place where it is
- * read, checked and given defaults. Nothing in it is needed to serve. `durable` is null where nothing is kept.
+ * The operator file: optional features that are set separately from the platform's configuration, in TOML. This class
+ * is the only place where the file is read and checked and where its defaults are defined. A relay serves without it.
+ *
+ * @param persistence where and how to persist the relay's state; null if it isn't persisted
  */
 public record OperatorConfiguration(Log.Format logFormat, PersistenceConfiguration persistence) {
-    private static final long MIN_INTERVAL_NANOS = 100_000_000L, MAX_INTERVAL_NANOS = 3_600_000_000_000L;
+    /** Lower bound of durable.interval: 100 ms. */
+    private static final long MIN_INTERVAL_NANOS = 100_000_000L;
+    /** Upper bound of durable.interval: 1 h. */
+    private static final long MAX_INTERVAL_NANOS = 3_600_000_000_000L;
+
+    /** The configuration of a relay that has no operator file. */
     public static final OperatorConfiguration DEFAULT = new OperatorConfiguration(Log.Format.TEXT, null);
 
-    /** All faults at once, each with file, line and key. */
+    /** The operator file has faults; the message is the first of them. */
     public static final class InvalidOperatorFileException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient List<TomlDocument.Fault> faults;
@@ -26,11 +33,18 @@
             this.faults = faults;
         }
 
+        /** All faults of the file, in the order of their lines. */
         public List<TomlDocument.Fault> faults() {
             return faults;
         }
     }
 
+    /**
+     * Reads and checks an operator file.
+     *
+     * @throws IOException if the file cannot be read; the message can be shown to the operator
+     * @throws InvalidOperatorFileException if a key is missing, malformed or unknown
+     */
     public static OperatorConfiguration read(Path path) throws IOException, InvalidOperatorFileException {
         return read(TomlDocument.read(path));
     }
@@ -52,7 +66,9 @@
     private static PersistenceConfiguration readPersistenceConfiguration(TomlDocument.Table table) {
         String folder = table.readText("folder", null);
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
-            table.addFault("folder", "is not there: expected a folder that outlives the relay, got " + folder);
+            table.addFault(
+                    "folder",
+                    "is not a directory: expected an existing one that outlasts the relay process, got " + folder);
         }
         long intervalNanos = table.readDurationNanos("interval", "2s");
         if (intervalNanos < MIN_INTERVAL_NANOS || intervalNanos > MAX_INTERVAL_NANOS) {
@@ -60,16 +76,16 @@
         }
         long maxAgeNanos = table.readDurationNanos("most-age", "24h");
         if (maxAgeNanos <= intervalNanos) {
-            table.addFault("most-age", "is malformed: expected more than interval");
+            table.addFault("most-age", "is malformed: expected a time longer than interval");
         }
         long maxFreshRosterAgeNanos = table.readDurationNanos("sure", "2s");
-        long megabytes = table.readLong("most-megabytes", 16L, 1, 1024);
+        long maxMegabytes = table.readLong("most-megabytes", 16L, 1, 1024);
         table.reportUnknownKeys();
         return new PersistenceConfiguration(
                 folder == null ? null : Path.of(folder),
                 intervalNanos,
                 maxAgeNanos,
-                megabytes << 20,
+                maxMegabytes << 20,
                 maxFreshRosterAgeNanos);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -19,7 +19,17 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The one place where configuration is read, checked and given defaults. */
+/**
+ * The relay configuration that the platform provides: a JSON file and environment variables. This class is the only
+ * place where it is read and checked and where its defaults are defined.
+ *
+ * @param name name of this relay in the log and in its state files
+ * @param listenAddress where clients connect
+ * @param connectTimeoutMillis time limit for connecting to a backend
+ * @param names names of the use cases and tenants, in the order of the settings
+ * @param initialRoster the backends known at the start, before the roster service answers
+ * @param values the configuration of the reducer
+ */
 public record RelayConfiguration(
         String name,
         Address listenAddress,
@@ -27,14 +37,21 @@
         ConfiguredNames names,
         RosterMessage initialRoster,
         ReducerConfiguration values) {
-    /** Descriptors kept for the JVM's own files, the selector, the roster watch and connections being refused. */
+    /**
+     * File descriptors, out of limits.sockets, that are reserved for the JVM's own files, the selector, the roster
+     * watch and connections that are being refused.
+     */
     private static final int RESERVED_DESCRIPTORS = 64;
+    /** Value of limits.sockets if the configuration has none. */
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
+    /** Goal time of messages, in nanoseconds, if the settings have none; adding times to it cannot overflow. */
+    private static final long NO_MESSAGE_GOAL_TIME = Long.MAX_VALUE / 4;
 
-    /** Something is missing or malformed; the message names the first faulty key and what was expected. */
+    /** A key is missing or malformed; the message names the first faulty key and what was expected. */
     public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
         private final String key;
-        /** This one and those found after it. */
+        /** This fault and all that were found after it. */
         private final transient List<InvalidConfigurationException> allFaults = new ArrayList<>(List.of(this));
 
         InvalidConfigurationException(String key, String expected) {
@@ -43,7 +60,7 @@
         }
     }
 
-    /** Reads on past a fault, so that one reading finds all. */
+    /** Collects faults, so that reading goes on after a fault and one run reports all of them. */
     private static final class FaultCollector {
         private final List<InvalidConfigurationException> faults = new ArrayList<>();
 
@@ -51,6 +68,7 @@
             T read() throws InvalidConfigurationException;
         }
 
+        /** Returns the value read; if it is faulty, records the fault and returns the default. */
         <T> T readOrDefault(T defaultValue, ValueReader<T> reader) {
             try {
                 return reader.read();
@@ -60,6 +78,7 @@
             }
         }
 
+        /** Throws the first fault, with the others attached, if there is any. */
         void throwIfAny() throws InvalidConfigurationException {
             if (!faults.isEmpty()) {
                 InvalidConfigurationException first = faults.get(0);
@@ -69,7 +88,10 @@
         }
     }
 
-    /** Every fault of the file that the environment names, with its line; empty where a relay would start with it. */
+    /**
+     * Returns all faults, with their lines, of the file that BALANCER_CONFIG in this environment names. The list is
+     * empty if a relay would start with this configuration.
+     */
     public static List<TomlDocument.Fault> findFaults(Map<String, String> environment) {
         String path = environment.getOrDefault("BALANCER_CONFIG", "");
         JsonLineIndex lineIndex = new JsonLineIndex("");
@@ -94,13 +116,17 @@
             }
             return faults;
         } catch (IllegalArgumentException e) {
-            // The module checks what it alone reads, one name at a time.
+            // The balancer checks the settings that only it reads, and reports the first fault.
             String message = e.getMessage().replace("job ticket: ", "");
             return List.of(new TomlDocument.Fault(
                     path, lineIndex.lineOf("settings." + message.split(" ")[0]), "settings:", message));
         }
     }
 
+    /**
+     * Reads the file that BALANCER_CONFIG names, and the other BALANCER_ variables. BALANCER_LISTEN and BALANCER_NAME
+     * take precedence over the file; the file takes precedence over BALANCER_DISCOVERY.
+     */
     public static RelayConfiguration read(Map<String, String> environment) throws InvalidConfigurationException {
         String path = environment.get("BALANCER_CONFIG");
         if (path == null || path.isEmpty()) {
@@ -118,7 +144,7 @@
         return read(environment, json);
     }
 
-    /** The same from what was read already. */
+    /** Reads the configuration from parsed JSON and the environment; ignores BALANCER_CONFIG. */
     public static RelayConfiguration read(Map<String, String> environment, JsonObject json)
             throws InvalidConfigurationException {
         FaultCollector faults = new FaultCollector();
@@ -130,7 +156,7 @@
                         "an object"));
         Map<String, String> flatSettings = new HashMap<>();
         flatten(settings, "", flatSettings);
-        // On sockets nothing tells how long a message takes at its backend, whatever the settings promise.
+        // The relay's line protocol doesn't report how long a message takes at its backend, whatever the settings say.
         flatSettings.put("familyInfo.tellsDelay", "unseen");
         List<Long> cutOffs = new ArrayList<>();
         List<String> useCases = faults.readOrDefault(List.of(), () -> readNames(settings, "useCases"));
@@ -138,7 +164,7 @@
             String cutOff = "useCases." + useCase + ".cutOff";
             cutOffs.add(faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, cutOff)));
         }
-        long messageGoalTime = Long.MAX_VALUE / 4;
+        long messageGoalTime = NO_MESSAGE_GOAL_TIME;
         for (String part :
                 flatSettings.getOrDefault("familyInfo.messageAim", "").split(",")) {
             messageGoalTime = Math.min(
@@ -146,7 +172,7 @@
                     faults.readOrDefault(
                             messageGoalTime,
                             () -> part.isEmpty()
-                                    ? Long.MAX_VALUE / 4
+                                    ? NO_MESSAGE_GOAL_TIME
                                     : (long) parseNumber(part, "settings: familyInfo.messageAim")));
         }
         JsonObject limits = faults.readOrDefault(
@@ -171,11 +197,11 @@
             }
         });
         int maxSockets = faults.readOrDefault(2 * RESERVED_DESCRIPTORS, () -> {
-            int value = valueOrDefault(limits, "limits.sockets", Integer.class, 1024, "a whole number");
+            int value = valueOrDefault(limits, "limits.sockets", Integer.class, DEFAULT_MAX_SOCKETS, "a whole number");
             if (value < 2 * RESERVED_DESCRIPTORS) {
                 throw new InvalidConfigurationException(
                         "limits.sockets",
-                        "is too small: expected " + 2 * RESERVED_DESCRIPTORS + " at least, got " + value);
+                        "is too small: expected at least " + 2 * RESERVED_DESCRIPTORS + ", got " + value);
             }
             return value;
         });
@@ -184,7 +210,8 @@
         List<String> tenants = faults.readOrDefault(List.of(), () -> readNames(settings, "tenants"));
         long connectTimeoutNanos =
                 faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, "limits.connectTimeout"));
-        // Danger: the environment of a running relay never changes; a new file must win over it here.
+        // The file takes precedence over the environment, which never changes while a relay runs. Otherwise a reload
+        // could not change the roster address.
         Address rosterAddress = faults.readOrDefault(
                 null, () -> readAddress(json, "discovery", environment, "BALANCER_DISCOVERY", true));
         Address listenAddress =
@@ -214,7 +241,7 @@
                 reducerConfiguration);
     }
 
-    /** Keys that differ in a sheet read later, though a running relay keeps to what it started with. */
+    /** Returns the changed keys of a reloaded configuration that take effect only after a restart. */
     List<String> keysNeedingRestart(RelayConfiguration reloaded) {
         List<String> keys = new ArrayList<>();
         if (!listenAddress.equals(reloaded.listenAddress)) {
@@ -229,6 +256,11 @@
         return keys;
     }
 
+    /**
+     * Reads an address and port from the file or from an environment variable.
+     *
+     * @param fileWins whether the file takes precedence if both have a value
+     */
     private static Address readAddress(
             JsonObject json, String key, Map<String, String> environment, String variable, boolean fileWins)
             throws InvalidConfigurationException {
@@ -243,7 +275,7 @@
         return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** What stands under the last word of the key, or the default; the whole key names it where its form is wrong. */
+    /** Returns the value under the last segment of the key, or the default. Faults name the whole key. */
     private static <T> T valueOrDefault(JsonObject json, String key, Class<T> type, T defaultValue, String expected)
             throws InvalidConfigurationException {
         Object value = json.getValue(key.substring(key.lastIndexOf('.') + 1));
@@ -273,14 +305,17 @@
         }
     }
 
-    /** A list of names, or of objects that have one; the settings' places count from here. */
+    /** Reads an array of names, or of objects with a `name`. Other settings refer to an entry by its index. */
     private static List<String> readNames(JsonObject settings, String key) throws InvalidConfigurationException {
         return valueOrDefault(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
                 .map(item -> String.valueOf(item instanceof JsonObject object ? object.getValue("name") : item))
                 .toList();
     }
 
-    /** Nested settings as the simulator writes them: paths, plain lists joined, lists of objects counted. */
+    /**
+     * Flattens nested settings to the form that the simulator uses: names joined by dots; arrays of values joined by
+     * commas; arrays of objects by index, with the array's length under `count`.
+     */
     private static void flatten(Object value, String path, Map<String, String> flatSettings) {
         if (value instanceof JsonObject object) {
             object.forEach(entry -> flatten(
@@ -300,6 +335,7 @@
         }
     }
 
+    /** The text of a value, with "_" for spaces and commas, since commas separate the values of a list. */
     private static String toSettingValue(Object value) {
         return String.valueOf(value).replaceAll("[ ,]", "_");
     }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -29,24 +29,38 @@
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
 
-/** Starts one relay, carries events to the reducer and its effects to their owners, and stops it. */
+/**
+ * One running relay: starts it, passes events to the reducer, executes the effects that the reducer returns, and stops
+ * it. Everything except starting, the wait in {@link #stop} and writing state files runs on one event loop.
+ */
 public final class RelayServer {
-    /** Longer than any client waits; the platform kills sooner. */
+    /**
+     * Time limit for ending open associations at shutdown. No client waits that long, and the platform kills sooner.
+     */
     private static final long MAX_SHUTDOWN_SECONDS = 30;
+    /** Time between the reducer's Stop effect and the end of the JVM, in which the event loop can still write. */
+    private static final long STOP_DELAY_MILLIS = 200;
 
     private final Vertx vertx;
     private final Context eventLoop;
     private final SocketManager socketManager;
     private final RosterWatcher rosterWatcher;
     private final Reducer reducer;
+    /** Events that arrived while another one was being handled, oldest first. */
     private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+    /** Released when the JVM may end. */
     private final CountDownLatch stopped = new CountDownLatch(1);
+
     private boolean isHandlingEvents;
+    /** Vert.x id of the reducer's timer; -1 before the first. */
     private long reducerTimer = -1;
-    /** Unix time at the start less the monotonic clock's: the one place where the two are tied. */
+    /**
+     * Unix time minus the monotonic clock, in nanoseconds, read once at the start. The two clocks are related nowhere
+     * else.
+     */
     private final long unixTimeOffsetNanos = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
-    /** Keeps what is learned beyond this process; null where nothing is kept. */
+    /** Persists the learned state and the roster; null if persistence is off. */
     private final StatePersister statePersister;
 
     private RelayServer(
@@ -86,7 +100,12 @@
         }
     }
 
-    /** Runs until the process is told to stop; on a bad sheet or a listen address in use, exit code 1. */
+    /**
+     * Starts a relay and returns; the relay runs until the process gets SIGTERM. The process ends with exit code 1 if
+     * the configuration is faulty, if another relay uses the state folder, or if the relay cannot listen.
+     *
+     * @param persistence where and how to persist the state; null to not persist it
+     */
     public static void run(
             Map<String, String> environment, Log.Format logFormat, PersistenceConfiguration persistence) {
         RelayConfiguration configuration;
@@ -125,13 +144,14 @@
             return;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(server::stop, "stop"));
-        // Danger: unhandled, SIGHUP ends the JVM and with it all that is open.
+        // Without a handler, SIGHUP ends the JVM and with it all open connections.
         Signal.handle(
                 new Signal("HUP"),
                 signal -> server.eventLoop.runOnContext(v -> server.reloadConfiguration(configuration, environment)));
         server.eventLoop.runOnContext(v -> server.start(configuration));
     }
 
+    /** Ends the process with exit code 1, without running shutdown hooks. */
     private static void exitWithError(String reason) {
         System.err.println("ambertrestle: " + reason);
         Runtime.getRuntime().halt(1);
@@ -154,13 +174,20 @@
                 });
     }
 
-    /** Told by SIGHUP: the file is read again; a faulty one changes nothing. */
+    /**
+     * Reads the configuration again, on SIGHUP. A faulty file changes nothing.
+     *
+     * @param current the configuration with which the relay started
+     */
     private void reloadConfiguration(RelayConfiguration current, Map<String, String> environment) {
         RelayConfiguration reloaded;
         try {
             reloaded = RelayConfiguration.read(environment);
         } catch (InvalidConfigurationException e) {
-            Log.log(Level.WARNING, "reread-refused", "the configuration stays as it was: " + e.getMessage());
+            Log.log(
+                    Level.WARNING,
+                    "reread-refused",
+                    "the configuration is unchanged, the new one is faulty: " + e.getMessage());
             return;
         }
         List<String> keys = current.keysNeedingRestart(reloaded);
@@ -168,12 +195,17 @@
                 Level.INFO,
                 "reread",
                 "the configuration was read again"
-                        + (keys.isEmpty() ? "" : "; taken over only at the next start: " + String.join(", ", keys)));
+                        + (keys.isEmpty()
+                                ? ""
+                                : "; changed keys that take effect only after a restart: " + String.join(", ", keys)));
         handleEvent(new Event.ConfigurationReloaded(
                 reloaded.values().rosterAddress(), reloaded.values().maxSockets()));
     }
 
-    /** One that never goes back and reads like Unix time, so that what the roster tells needs no other. */
+    /**
+     * Unix time in nanoseconds that follows the monotonic clock. It never goes back, and times in the roster, which are
+     * Unix time, can be compared with it directly.
+     */
     private long now() {
         return System.nanoTime() + unixTimeOffsetNanos;
     }
@@ -182,7 +214,7 @@
         handleEvent(new Event.NetworkEventReceived(networkEvent));
     }
 
-    /** Effects may bring events at once; those wait until the event in hand is done. */
+    /** Handles an event. Events that its effects raise at once are queued until it is finished. */
     private void handleEvent(Event event) {
         pendingEvents.add(event);
         if (isHandlingEvents) {
@@ -195,8 +227,8 @@
                     execute(effect);
                 }
             } catch (RuntimeException e) {
-                // Danger: one event that fails must neither end the relay nor hold up those behind it.
-                Log.logFailure("event-failed", "an event failed", e);
+                // Without this, one event that fails would end the relay or block the events queued behind it.
+                Log.logFailure("event-failed", "handling an event failed", e);
             }
         }
         isHandlingEvents = false;
@@ -216,7 +248,7 @@
         } else if (effect instanceof Effect.ScheduleTimer schedule) {
             vertx.cancelTimer(reducerTimer);
             reducerTimer = vertx.setTimer(
-                    Math.max(1, (schedule.time() - now() + 999_999) / 1_000_000),
+                    Math.max(1, (schedule.time() - now() + 999_999) / 1_000_000), // rounded up to milliseconds
                     t -> handleEvent(new Event.TimerFired()));
         } else if (effect instanceof Effect.WriteLog entry) {
             Log.log(Level.INFO, entry.event(), entry.text(), entry.fields());
@@ -225,13 +257,16 @@
         } else if (effect instanceof Effect.PersistRoster persist) {
             statePersister.add(persist.message());
         } else if (effect instanceof Effect.Stop && statePersister != null) {
-            statePersister.stop(() -> vertx.setTimer(200, t -> stopped.countDown()));
+            statePersister.stop(() -> vertx.setTimer(STOP_DELAY_MILLIS, t -> stopped.countDown()));
         } else if (effect instanceof Effect.Stop) {
-            vertx.setTimer(200, t -> stopped.countDown());
+            vertx.setTimer(STOP_DELAY_MILLIS, t -> stopped.countDown());
         }
     }
 
-    /** The JVM ends once this hook returns, so it waits until all that was taken is settled. */
+    /**
+     * The shutdown hook: requests the shutdown and waits until all accepted associations have ended, because the JVM
+     * ends when the hook returns.
+     */
     private void stop() {
         eventLoop.runOnContext(v -> handleEvent(new Event.ShutdownRequested()));
         try {
--- a/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
+++ b/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
@@ -12,11 +12,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times the keeping: gathers what changed on the event loop, a part a turn, and hands it to one thread beside the loop,
- * one write at a time. While a write lasts nothing is gathered, so a stalled disk costs neither time nor memory here.
+ * Persists a relay's state periodically. Collects the changes of the learned state on the event loop, one part per turn
+ * of the loop, and passes them to a writer thread, one write at a time. While a write is in progress no learned state
+ * is collected, so a stalled disk costs the event loop neither time nor memory.
  */
 final class StatePersister {
-    /** What is gathered may go on at the end of a relay for so long. */
+    /** Time limit for the last write at shutdown. */
     private static final long FINAL_WRITE_TIMEOUT_MILLIS = 1_000;
 
     private final Vertx vertx;
@@ -26,20 +27,29 @@
     private final RosterWatcher rosterWatcher;
     private final long unixTimeOffsetNanos;
     private final WorkerExecutor writerExecutor;
+    /** The changes since the last write began. */
     private StateChanges pendingChanges = new StateChanges();
+    /** Parts of the learned state are being collected for the next write. */
     private boolean isCollecting;
-    /** Counts the parts that came. */
+    /** How many parts {@link #add(LearnedState)} got so far. */
     private long receivedParts;
 
     private boolean isWriting;
+    /** When the last write began, by the monotonic clock in nanoseconds. */
     private long writeStartedAt;
+    /** The warning about the write in progress was logged. */
     private boolean isSlowWriteLogged;
-    /** At the end: whether one more is owed, and what then follows; null while it serves. */
+    /** At shutdown: the last write hasn't begun yet. */
     private boolean isFinalWritePending;
-
+    /** What to run after the last write; null before {@link #stop}. */
     private Runnable onStopped;
 
-    /** `ask`: makes the reducer give a part, which comes back by {@link #add}. */
+    /**
+     * @param intervalNanos durable.interval: the maximum age of the newest state file
+     * @param requestLearnedState makes the reducer return a part of the learned state, which has to reach
+     *     {@link #add(LearnedState)} before the call returns
+     * @param unixTimeOffsetNanos Unix time minus the monotonic clock
+     */
     StatePersister(
             Vertx vertx,
             StateStore stateStore,
@@ -53,24 +63,25 @@
         this.requestLearnedState = requestLearnedState;
         this.rosterWatcher = rosterWatcher;
         this.unixTimeOffsetNanos = unixTimeOffsetNanos;
-        // Danger: in the one pool of Vert.x a stalled disk would hold up whatever else must wait there.
+        // A pool of its own: in the shared pool of Vert.x, a stalled disk would block all other blocking calls.
         writerExecutor = vertx.createSharedWorkerExecutor("durable", 1, 1, TimeUnit.HOURS);
     }
 
-    /** Twice an interval, so that with a write under way the file that stands is still no older than one. */
+    /**
+     * Starts to persist, twice per interval: as long as a write takes less than half an interval, the newest complete
+     * file is then no older than one interval even while a write is in progress.
+     */
     void start() {
+        // Half an interval, in milliseconds.
         vertx.setPeriodic(Math.max(1, intervalNanos / 2_000_000), t -> beginPersist());
         beginPersist();
     }
 
+    /** Starts to collect changes for the next write, unless collecting or a write is still in progress. */
     private void beginPersist() {
         if (isWriting && System.nanoTime() - writeStartedAt > intervalNanos && !isSlowWriteLogged) {
             isSlowWriteLogged = true;
-            Log.log(
-                    Level.WARNING,
-                    "state-late",
-                    "a write of what is kept takes longer than durable.interval",
-                    Map.of());
+            Log.log(Level.WARNING, "state-late", "writing a state file takes longer than durable.interval", Map.of());
         }
         if (!isWriting && !isCollecting) {
             isCollecting = true;
@@ -78,13 +89,17 @@
         }
     }
 
-    /** Danger: where the reducer fails, no part comes, and nothing would ever be kept again. */
+    /**
+     * Requests a part of the learned state. If the reducer fails, no part arrives and collecting ends. Otherwise the
+     * state would never be persisted again, because each later attempt would wait for that part.
+     */
     private void requestNextPart() {
         long partsBefore = receivedParts;
         requestLearnedState.run();
         isCollecting = isCollecting && receivedParts > partsBefore;
     }
 
+    /** Adds a part of the learned state; requests the next part or, after the last one, starts the write. */
     void add(LearnedState part) {
         receivedParts++;
         pendingChanges.add(part);
@@ -96,16 +111,19 @@
         }
     }
 
+    /** Adds a roster message that the reducer has applied. */
     void add(RosterMessage message) {
         pendingChanges.add(message);
     }
 
+    /** Writes the pending changes on the writer thread; afterwards continues a shutdown that waits for this write. */
     private void write() {
         StateChanges changes = pendingChanges;
         pendingChanges = new StateChanges();
         isWriting = true;
         writeStartedAt = System.nanoTime();
         long now = writeStartedAt + unixTimeOffsetNanos;
+        // Null while no roster service has confirmed the roster.
         String confirmedBy = rosterWatcher.rosterConfirmedBy() == null
                 ? null
                 : rosterWatcher.rosterConfirmedBy().toString();
@@ -116,7 +134,7 @@
                     isWriting = false;
                     isSlowWriteLogged = false;
                     if (result.failed()) {
-                        Log.logFailure("state-not-kept", "keeping failed", result.cause());
+                        Log.logFailure("state-not-kept", "writing a state file failed", result.cause());
                     } else if (result.result() != null) {
                         RelayServer.log(result.result());
                     }
@@ -127,7 +145,8 @@
     }
 
     /**
-     * Keeps once more, then runs that, after a second at the latest: a relay told to stop must not hang on its disk.
+     * Persists once more, then runs `onDone`. Runs it after {@link #FINAL_WRITE_TIMEOUT_MILLIS} at the latest, because
+     * a stalled disk must not block the shutdown of the relay.
      */
     void stop(Runnable onDone) {
         boolean[] hasRun = new boolean[1];
@@ -140,10 +159,12 @@
         vertx.setTimer(FINAL_WRITE_TIMEOUT_MILLIS, t -> runOnce.run());
         onStopped = runOnce;
         isFinalWritePending = true;
-        // What asks for this is an event in hand, within which no part comes.
+        // On a later turn of the event loop: the reducer's event that led here is still being handled, and no part of
+        // the learned state arrives before it is finished.
         vertx.setTimer(1, t -> continueStop());
     }
 
+    /** Starts the last write, or runs {@link #onStopped} if that is finished. Waits while one goes on. */
     private void continueStop() {
         if (isWriting || isCollecting) {
             return;
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -17,19 +17,25 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads one TOML file and keeps every fault found in it, each with file, key and line. What is asked for counts as
- * known; {@link Table#reportUnknownKeys} faults the rest, with the nearest known name. Values that are faulty give
- * their default, so that one reading finds all faults; a caller must look at {@link #faults} before it uses what was
- * read. Times in nanoseconds.
+ * Reads one TOML file and records every fault in it with file, line and key. A key that was requested counts as known;
+ * {@link Table#reportUnknownKeys} reports the others with the most similar known key. A faulty value is replaced by its
+ * default, so that one pass finds all faults. Callers must check {@link #faults} before they use any value.
  */
 public final class TomlDocument {
+    /** What {@link #parseDurationNanos} returns for a text that is not a duration. */
     private static final long INVALID_DURATION = Long.MIN_VALUE;
 
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
     private final TomlTable root;
 
-    /** One thing that is wrong, told as `file:line: key says what was expected`. */
+    /**
+     * One fault of a file; its text is `file:line: key message`.
+     *
+     * @param line line number, from 1
+     * @param key the key's full path, or empty if the fault concerns no key
+     * @param message what is wrong and what was expected; the sentence continues after the key
+     */
     public record Fault(String file, int line, String key, String message) {
         @Override
         public String toString() {
@@ -37,10 +43,15 @@
         }
     }
 
-    /** One table of the file. */
+    /**
+     * One table of the file. In all methods that read a value, a null default makes the key required: if it is absent,
+     * a fault is recorded and the method returns null, or 0 for numbers. Bounds are inclusive.
+     */
     public final class Table {
         private final TomlTable table;
+        /** The table's full name; empty for the root table. */
         private final String path;
+
         private final Set<String> requestedKeys = new TreeSet<>();
 
         private Table(TomlTable table, String path) {
@@ -53,12 +64,15 @@
             return table.get(List.of(key)) != null;
         }
 
+        /** Reads a string. */
         public String readText(String key, String defaultValue) {
             Object value = readValue(key, defaultValue);
-            return value instanceof String text ? text : reportMalformed(key, value, defaultValue, "a text in quotes");
+            return value instanceof String text
+                    ? text
+                    : reportMalformed(key, value, defaultValue, "a string in quotes");
         }
 
-        /** One of the words. */
+        /** Reads a string that must be one of the choices. */
         public String readChoice(String key, String defaultValue, Collection<String> choices) {
             String word = readText(key, defaultValue);
             if (word != null && !choices.contains(word)) {
@@ -103,7 +117,7 @@
                     "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
 
-        /** A time as a text such as "250ms", "3s" or "2m"; in nanoseconds. */
+        /** Reads a duration, a string such as "250ms", "3s" or "2m", and returns nanoseconds. */
         public long readDurationNanos(String key, String defaultValue) {
             Object value = readValue(key, defaultValue);
             if (value == null) {
@@ -117,6 +131,7 @@
             return nanos;
         }
 
+        /** Reads an array of strings. */
         public List<String> readStrings(String key, List<String> defaultValue) {
             Object value = readValue(key, defaultValue);
             if (value instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)) {
@@ -124,10 +139,10 @@
             }
             return value == defaultValue
                     ? defaultValue
-                    : reportMalformed(key, value, defaultValue, "a list of texts in quotes");
+                    : reportMalformed(key, value, defaultValue, "an array of strings in quotes");
         }
 
-        /** The table under that name; an empty one where it is not there. */
+        /** Returns the table with that name; an empty table if it is absent or not a table. */
         public Table readTable(String key) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
@@ -137,7 +152,7 @@
             return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), pathOf(key));
         }
 
-        /** The tables of the list under that name, written [[name]]. */
+        /** Returns the tables of the array of tables with that name, written [[name]]; none if it is absent. */
         public List<Table> readTables(String key) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
@@ -147,12 +162,12 @@
                     tables.add(new Table(list.getTable(i), pathOf(key) + "[" + (i + 1) + "]"));
                 }
             } else if (value != null) {
-                addFault(key, "is malformed: expected tables written [[" + pathOf(key) + "]]");
+                addFault(key, "is malformed: expected an array of tables, written [[" + pathOf(key) + "]]");
             }
             return tables;
         }
 
-        /** Faults every key that nobody asked for. */
+        /** Records a fault for every key of this table that was not requested. */
         public void reportUnknownKeys() {
             for (String key : new TreeSet<>(table.keySet())) {
                 if (!requestedKeys.contains(key)) {
@@ -161,6 +176,7 @@
             }
         }
 
+        /** Records a fault of a key; an empty key stands for the table itself. */
         public void addFault(String key, String message) {
             TomlPosition position = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
             faults.add(new Fault(
@@ -170,6 +186,7 @@
                     message));
         }
 
+        /** The smallest line number of the table's keys; 1 if it has none. */
         private int firstLine() {
             return table.keySet().stream()
                     .sorted()
@@ -184,6 +201,7 @@
             return path.isEmpty() ? key : path + "." + key;
         }
 
+        /** Returns the value or the default; records a fault if both are null. */
         private Object readValue(String key, Object defaultValue) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
@@ -193,6 +211,7 @@
             return value == null ? defaultValue : value;
         }
 
+        /** Returns the default, and records a fault unless the value is null, which was reported as missing. */
         private <T> T reportMalformed(String key, Object value, T defaultValue, String expected) {
             if (value != null) {
                 addFault(
@@ -200,7 +219,7 @@
                         "is malformed: expected " + expected + ", got "
                                 + (value instanceof TomlTable
                                         ? "a table"
-                                        : value instanceof TomlArray ? "a list" : value));
+                                        : value instanceof TomlArray ? "an array" : value));
             }
             return defaultValue;
         }
@@ -211,17 +230,22 @@
         this.root = root;
     }
 
-    /** Throws IOException, with a message fit to be shown, where the file cannot be read at all. */
+    /**
+     * Reads a file. Syntax errors become faults.
+     *
+     * @throws IOException if the file cannot be read or is not UTF-8; the message can be shown to the user
+     */
     public static TomlDocument read(Path path) throws IOException {
         try {
             return parse(path.toString(), Files.readString(path));
         } catch (MalformedInputException e) {
-            throw new IOException(path + " is not text in UTF-8", e);
+            throw new IOException(path + " is not a text file in UTF-8", e);
         } catch (IOException e) {
             throw new IOException(path + " cannot be read", e);
         }
     }
 
+    /** Parses a text; `file` is the name for faults. Syntax errors become faults. */
     public static TomlDocument parse(String file, String text) {
         TomlParseResult result = Toml.parse(text);
         TomlDocument document = new TomlDocument(file, result);
@@ -230,7 +254,7 @@
                         file,
                         error.position().line(),
                         "",
-                        "is no TOML: "
+                        "is not valid TOML: "
                                 + String.valueOf(error.getMessage())
                                         .lines()
                                         .findFirst()
@@ -242,14 +266,14 @@
         return new Table(root, "");
     }
 
-    /** In the order of their lines. */
+    /** All faults recorded so far, in the order of their lines. */
     public List<Fault> faults() {
         List<Fault> sorted = new ArrayList<>(faults);
         sorted.sort((first, second) -> Integer.compare(first.line(), second.line()));
         return Collections.unmodifiableList(sorted);
     }
 
-    /** Nanoseconds, or NO_LEAST for what is no time. */
+    /** Converts a duration to nanoseconds; returns INVALID_DURATION for any other text. */
     private static long parseDurationNanos(String text) {
         java.util.regex.Matcher matcher = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
                 .matcher(text);
@@ -267,14 +291,17 @@
         return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
+    /** The number without a fraction if it has none. */
     private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
+    /** A clause that names the most similar candidate; empty if none is similar. */
     private static String suggestNearest(String word, Collection<String> candidates) {
         String nearest = null;
+        // Similar: at most half of the word's letters differ, or 2 letters of a short word.
         int smallestDistance = Math.max(2, word.length() / 2) + 1;
         for (String candidate : candidates) {
             int distance = editDistance(word, candidate);
@@ -286,7 +313,7 @@
         return nearest == null ? "" : "; the nearest known is " + nearest;
     }
 
-    /** Levenshtein's. */
+    /** The Levenshtein distance. */
     private static int editDistance(String from, String to) {
         int[] row = new int[to.length() + 1];
         for (int j = 0; j <= to.length(); j++) {
--- a/relay/src/main/java/ambertrestle/simhost/Instance.java
+++ b/relay/src/main/java/ambertrestle/simhost/Instance.java
@@ -8,23 +8,29 @@
 import java.util.HashMap;
 import java.util.PriorityQueue;
 
-/** One instance: its module, the associations it holds, and its timers. */
+/** One simulated relay: its balancer, its associations and its timer. Times in nanoseconds of the simulated clock. */
 final class Instance {
+    /** An association that waits until a time; `sequence` breaks ties in the order in which the waits began. */
     private record DelayedAssociation(long resumeAt, long sequence, Association association) {}
 
     final int number;
     final HashMap<Long, Association> associations = new HashMap<>();
+    /** Null if the instance's settings were invalid; it is crashed then. */
     Balancer balancer;
+    /** The batch being processed has a record for this instance. */
     boolean isInBatch;
+
     boolean isStopped;
+    /** An exception was reported; events are ignored from then on. */
     boolean isCrashed;
+
     private final WireFormat.Reply reply;
     private final PriorityQueue<DelayedAssociation> delayedAssociations =
             new PriorityQueue<>((first, second) -> first.resumeAt != second.resumeAt
                     ? Long.compare(first.resumeAt, second.resumeAt)
                     : Long.compare(first.sequence, second.sequence));
     private long nextSequence;
-    /** The earliest timer that is set and has not fired, in nanoseconds. */
+    /** The earliest timer that is set and has not fired; Long.MAX_VALUE if there is none. */
     private long nextTimerAt = Long.MAX_VALUE;
 
     Instance(int number, WireFormat.Reply reply) {
@@ -32,11 +38,18 @@
         this.reply = reply;
     }
 
+    /** A client requests an association. */
     void onArrival(Association association, long now) {
         associations.put(association.id, association);
         execute(association, balancer.selectBackend(association, now), now);
     }
 
+    /**
+     * A dispatch ended.
+     *
+     * @param dispatch index of the dispatch among those of the association, from 0
+     * @param isFinished whether the association is over; if not, the balancer selects what to do next
+     */
     void onAttemptFinished(long id, int dispatch, DispatchOutcome outcome, boolean isFinished, long now) {
         Association association = associations.get(id);
         if (association == null) {
@@ -55,12 +68,14 @@
         }
     }
 
+    /** The timer fired. What is due then is done at the end of the batch. */
     void onTimer(long now) {
         if (nextTimerAt <= now) {
             nextTimerAt = Long.MAX_VALUE;
         }
     }
 
+    /** Writes the balancer's decision to the reply, or lets the association wait. */
     private void execute(Association association, Decision decision, long now) {
         switch (decision.kind) {
             case SEND -> reply.addDispatch(number, association.id, decision.backend, decision.time / 1000);
@@ -77,7 +92,7 @@
         }
     }
 
-    /** Asks again for those that waited, does the chores that are due, and sets the next timer. */
+    /** Decides on associations whose wait is over, executes the balancer's due actions and sets the next timer. */
     void onBatchFinished(long now) {
         while (!delayedAssociations.isEmpty() && delayedAssociations.peek().resumeAt <= now) {
             Association association = delayedAssociations.poll().association;
@@ -112,6 +127,7 @@
         }
     }
 
+    /** Reports the exception, with its first stack frame, to the simulator and stops handling events. */
     void reportCrash(RuntimeException failure) {
         isCrashed = true;
         StackTraceElement[] stackTrace = failure.getStackTrace();
--- a/relay/src/main/java/ambertrestle/simhost/SimHost.java
+++ b/relay/src/main/java/ambertrestle/simhost/SimHost.java
@@ -15,18 +15,57 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Hosts instances of the module on the simulator's wire: one batch in, one reply out. It decides nothing. */
+/**
+ * Runs balancers in the simulator: reads batches of events, passes the events to the balancers of the instances that
+ * they name, and writes one reply of actions per batch. All decisions are the balancers'.
+ */
 public final class SimHost {
     private static final DispatchOutcome[] OUTCOMES = DispatchOutcome.values();
     private static final RosterEntry.Stage[] STAGES = RosterEntry.Stage.values();
+    /** The simulator counts microseconds, the balancer nanoseconds. */
+    private static final int NANOS_PER_MICRO = 1000;
+
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int INITIAL_FRAME_BYTES = 1 << 16;
+    /** The shortest frame: the header of a batch without records. */
+    private static final int MIN_FRAME_BYTES = 12;
+    /** The longest frame that is accepted, slightly below the largest possible array. */
+    private static final int MAX_FRAME_BYTES = Integer.MAX_VALUE - 16;
+
+    // Flags of an association in ARRIVAL and TAKEN_OVER.
+
+    /** The load is known. */
+    private static final int FLAG_LOAD = 1;
+    /** Packets of the open connection reached this relay. */
+    private static final int FLAG_MID_FLOW = 8;
+    /** The client reconnects after a break or a move. */
+    private static final int FLAG_RECONNECT = 16;
+
+    // Kinds of UPDATE_OF.
+
+    /** The load of a connection. */
+    private static final int LOAD_REPORT = 1;
+    /** The delay that a backend reports. */
+    private static final int DELAY_REPORT = 2;
+
+    // Kinds of DISCOVERY; 1 is a complete roster.
+
+    /** Only the entries that changed. */
+    private static final int ROSTER_CHANGES = 0;
+    /** A complete roster from a cache, which may be out of date. */
+    private static final int CACHED_ROSTER = 2;
+    /** The call to the roster service failed. */
+    private static final int ROSTER_CALL_FAILED = 3;
 
     private final InputStream in;
     private final OutputStream out;
     private final TreeMap<Integer, Instance> instances = new TreeMap<>();
+    /** The instances with at least one record in the batch being processed. */
     private final List<Instance> batchInstances = new ArrayList<>();
+
     private final WireFormat.Reply reply = new WireFormat.Reply();
-    private ByteBuffer frame = allocateBuffer(1 << 16);
-    private final byte[] lengthField = new byte[4];
+    private ByteBuffer frame = allocateBuffer(INITIAL_FRAME_BYTES);
+    private final byte[] lengthField = new byte[LENGTH_FIELD_BYTES];
 
     public SimHost(InputStream in, OutputStream out) {
         this.in = in;
@@ -37,20 +76,25 @@
         return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
+    /**
+     * Processes batches until the input ends.
+     *
+     * @throws WireFormatException if the input violates the protocol
+     */
     public void run() throws IOException {
         long frameNumber = 0;
         while (true) {
-            int lengthBytes = in.readNBytes(lengthField, 0, 4);
+            int lengthBytes = in.readNBytes(lengthField, 0, LENGTH_FIELD_BYTES);
             if (lengthBytes == 0) {
                 return;
             }
             long length =
                     ByteBuffer.wrap(lengthField).order(ByteOrder.LITTLE_ENDIAN).getInt() & 0xffffffffL;
-            if (lengthBytes < 4 || length < 12 || length > Integer.MAX_VALUE - 16) {
+            if (lengthBytes < LENGTH_FIELD_BYTES || length < MIN_FRAME_BYTES || length > MAX_FRAME_BYTES) {
                 throw new WireFormatException(
-                        lengthBytes < 4
+                        lengthBytes < LENGTH_FIELD_BYTES
                                 ? "frame " + frameNumber + " is cut short in its length field"
-                                : "frame " + frameNumber + " has a length of " + length);
+                                : "frame " + frameNumber + " has an invalid length: " + length);
             }
             if (frame.capacity() < length) {
                 frame = allocateBuffer((int) length);
@@ -69,9 +113,10 @@
         }
     }
 
+    /** Handles all records of a batch, then lets each instance that had one do what is due. */
     private void processBatch(WireFormat.Batch batch) throws EOFException {
         reply.clear();
-        long now = batch.clockUs * 1000;
+        long now = batch.clockUs * NANOS_PER_MICRO;
         Instance last = null;
         for (int i = 0; i < batch.recordCount; i++) {
             int event = batch.selectRecord(i);
@@ -121,6 +166,7 @@
         batchInstances.clear();
     }
 
+    /** Handles the selected record. The numbers passed to the batch are offsets of fields in the record. */
     private void handleRecord(WireFormat.Batch batch, int event, Instance instance, long now) {
         Balancer balancer = instance.balancer;
         switch (event) {
@@ -130,6 +176,7 @@
             }
             case WireFormat.ARRIVAL -> {
                 int flags = batch.u8(45);
+                // Id, use case, tenant, client key, group key, cut-off, load (work per second), mid-flow, reconnect.
                 instance.onArrival(
                         new Association(
                                 batch.u64(3),
@@ -137,24 +184,25 @@
                                 batch.i32(13),
                                 batch.u64(17),
                                 batch.u64(37),
-                                batch.u64(25) * 1000,
-                                (flags & 1) != 0 ? batch.u32(33) * 1000.0 : 0,
-                                (flags & 8) != 0,
-                                (flags & 16) != 0),
+                                batch.u64(25) * NANOS_PER_MICRO,
+                                (flags & FLAG_LOAD) != 0 ? batch.u32(33) * 1000.0 : 0,
+                                (flags & FLAG_MID_FLOW) != 0,
+                                (flags & FLAG_RECONNECT) != 0),
                         now);
             }
             case WireFormat.TAKEN_OVER -> {
                 int flags = batch.u8(51);
+                // The same values in another order.
                 Association association = new Association(
                         batch.u64(3),
                         batch.u16(19),
                         batch.i32(43),
                         batch.u64(29),
                         batch.u64(21),
-                        batch.u64(11) * 1000,
-                        (flags & 1) != 0 ? batch.u32(47) * 1000.0 : 0,
-                        (flags & 8) != 0,
-                        (flags & 16) != 0);
+                        batch.u64(11) * NANOS_PER_MICRO,
+                        (flags & FLAG_LOAD) != 0 ? batch.u32(47) * 1000.0 : 0,
+                        (flags & FLAG_MID_FLOW) != 0,
+                        (flags & FLAG_RECONNECT) != 0);
                 instance.associations.put(association.id, association);
                 balancer.onConnectionAdopted(association, batch.backendId(37), now);
             }
@@ -164,11 +212,13 @@
             case WireFormat.DISCOVERY -> handleRoster(batch, balancer, now);
             case WireFormat.UPDATE_OF -> {
                 Association association = instance.associations.get(batch.u64(3));
-                if (batch.u8(18) == 1) {
+                if (batch.u8(18) == LOAD_REPORT) {
                     if (association != null) {
+                        // Microseconds of work per second, passed on as nanoseconds per second.
                         balancer.onLoadReport(association, batch.f32(19) * 1000.0, now);
                     }
-                } else if (batch.u8(18) == 2) {
+                } else if (batch.u8(18) == DELAY_REPORT) {
+                    // Milliseconds, passed on as nanoseconds.
                     balancer.onDelayReport(batch.backendId(12), (long) (batch.f32(19) * 1e6), now);
                 }
             }
@@ -176,28 +226,34 @@
             case WireFormat.ESTABLISHED -> {
                 Association association = instance.associations.get(batch.u64(3));
                 if (association != null) {
-                    balancer.onConnectionEstablished(association, batch.u8(21), batch.u32(11) * 1000, now);
+                    balancer.onConnectionEstablished(association, batch.u8(21), batch.u32(11) * NANOS_PER_MICRO, now);
                 }
             }
-            case WireFormat.HEALTH, WireFormat.FROM_PEER -> {} // asked for by no chore of the module
+            case WireFormat.HEALTH,
+                    WireFormat.FROM_PEER -> {} // the balancer requests no probes and sends no peer messages
             default -> throw new WireFormatException(batch.describePosition() + ": no such event");
         }
     }
 
+    /** The outcome whose ordinal is in the field at this offset. */
     private static DispatchOutcome decodeOutcome(WireFormat.Batch batch, int offset) {
         int code = batch.u8(offset);
         if (code >= OUTCOMES.length) {
-            throw new WireFormatException(batch.describePosition() + ": no such outcome " + code);
+            throw new WireFormatException(batch.describePosition() + ": no such outcome: " + code);
         }
         return OUTCOMES[code];
     }
 
+    /**
+     * Handles a DISCOVERY record. A roster entry in the tail has: start of the backend in microseconds (8 bytes), cell
+     * (2), stage (1), backend (6), weight (4), zone (2) and instance type (2).
+     */
     private static void handleRoster(WireFormat.Batch batch, Balancer balancer, long now) {
         int updateKind = batch.u8(3);
-        if (updateKind > 3) {
-            throw new WireFormatException(batch.describePosition() + ": no such roster form " + updateKind);
+        if (updateKind > ROSTER_CALL_FAILED) {
+            throw new WireFormatException(batch.describePosition() + ": no such kind of roster update: " + updateKind);
         }
-        if (updateKind == 3) {
+        if (updateKind == ROSTER_CALL_FAILED) {
             balancer.onRosterCallFailed(now);
             return;
         }
@@ -207,17 +263,17 @@
         for (int i = 0; i < count; i++, entryOffset += WireFormat.ROSTER_ENTRY_BYTES) {
             int stageCode = batch.bytes.get(entryOffset + 10) & 0xff;
             if (stageCode >= STAGES.length) {
-                throw new WireFormatException(batch.describePosition() + ": no such stage " + stageCode);
+                throw new WireFormatException(batch.describePosition() + ": no such stage: " + stageCode);
             }
             entries.add(new RosterEntry(
                     batch.backendIdAt(entryOffset + 11),
                     STAGES[stageCode],
-                    batch.bytes.getLong(entryOffset) * 1000,
+                    batch.bytes.getLong(entryOffset) * NANOS_PER_MICRO,
                     batch.bytes.getShort(entryOffset + 8) & 0xffff,
                     batch.bytes.getFloat(entryOffset + 17),
                     batch.bytes.getShort(entryOffset + 21) & 0xffff,
                     batch.bytes.getShort(entryOffset + 23) & 0xffff));
         }
-        balancer.onRosterUpdate(entries, updateKind != 0, updateKind == 2, now);
+        balancer.onRosterUpdate(entries, updateKind != ROSTER_CHANGES, updateKind == CACHED_ROSTER, now);
     }
 }
--- a/relay/src/main/java/ambertrestle/simhost/WireFormat.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormat.java
@@ -5,67 +5,115 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The wire's frames: one batch to read records from, one reply to write records to. */
+/**
+ * The simulator's binary protocol, with all numbers little-endian. A batch has event records of {@link #EVENT_BYTES}
+ * and a reply has action records of {@link #ACTION_BYTES}. Each record starts with its code (one byte) and the number
+ * of the instance (two bytes). Values of variable length are in the tail, after the records; a field of 8 bytes refers
+ * to them by their offset in the tail and the number of items.
+ */
 final class WireFormat {
+    /** Size of an event record. */
     static final int EVENT_BYTES = 56;
+    /** Size of an action record. */
     static final int ACTION_BYTES = 24;
+    /** Size of a roster entry in the tail of a batch. */
     static final int ROSTER_ENTRY_BYTES = 25;
-    /** Events. */
-    static final int STOP = 0,
-            ARRIVAL = 1,
-            FIRED = 2,
-            HEALTH = 3,
-            SETTLED = 4,
-            DISCOVERY = 5,
-            UPDATE_OF = 6,
-            EXPIRED = 7,
-            ESTABLISHED = 8,
-            TAKEN_OVER = 9,
-            FROM_PEER = 10,
-            UP = 11;
-    /** Actions. */
-    static final int TRACK = 0,
-            GET_LIST = 1,
-            INSPECT = 2,
-            SURRENDER = 3,
-            CANCEL = 4,
-            PUBLISH = 5,
-            CRASH = 6,
-            EVICT = 7,
-            HAND_OFF = 8,
-            SET_TIMER = 9,
-            PUSH_BACK = 10,
-            RELEASE = 11,
-            EMIT = 12;
+
+    // Codes of events.
+
+    /** The instance ends. */
+    static final int STOP = 0;
+    /** A client requests an association. */
+    static final int ARRIVAL = 1;
+    /** The instance's timer fired. */
+    static final int FIRED = 2;
+    /** The result of a probe; ignored. */
+    static final int HEALTH = 3;
+    /** A dispatch ended. */
+    static final int SETTLED = 4;
+    /** A roster update, or the failure of a call to the roster service. */
+    static final int DISCOVERY = 5;
+    /** A report of a connection's load or of a backend's delay. */
+    static final int UPDATE_OF = 6;
+    /** The client is gone. */
+    static final int EXPIRED = 7;
+    /** A connection is established. */
+    static final int ESTABLISHED = 8;
+    /** The instance took over an open connection that existed before the instance started. */
+    static final int TAKEN_OVER = 9;
+    /** A message from another instance; ignored. */
+    static final int FROM_PEER = 10;
+    /** The instance starts, with its seed and settings. */
+    static final int UP = 11;
+
+    // Codes of actions.
+
+    /** Watch the roster service. */
+    static final int TRACK = 0;
+    /** Fetch the roster once. */
+    static final int GET_LIST = 1;
+    /** Probe a backend. */
+    static final int INSPECT = 2;
+    /** The association is forfeited. */
+    static final int SURRENDER = 3;
+    /** Not sent by this host. */
+    static final int CANCEL = 4;
+    /** Send a message to all other instances. */
+    static final int PUBLISH = 5;
+    /** The instance failed with an exception; its events are ignored until it starts again. */
+    static final int CRASH = 6;
+    /** Ask the client of an open connection to move to another backend. */
+    static final int EVICT = 7;
+    /** Dispatch an association to a backend. */
+    static final int HAND_OFF = 8;
+    /** Set the instance's timer. */
+    static final int SET_TIMER = 9;
+    /** The association is shed; the client may come back after a time. */
+    static final int PUSH_BACK = 10;
+    /** Not sent by this host. */
+    static final int RELEASE = 11;
+    /** A log message. */
+    static final int EMIT = 12;
+
+    /** Size of a batch's header: the clock in microseconds (8 bytes) and the number of records (4 bytes). */
+    private static final int BATCH_HEADER_BYTES = 12;
 
     private WireFormat() {}
 
-    /** The records and the tail of one batch, after its length field. */
+    /**
+     * One batch, without the length field of its frame: header, records and tail. The methods that read a number take
+     * the offset of a field in the record selected by {@link #selectRecord}.
+     */
     static final class Batch {
         final ByteBuffer bytes;
+        /** The simulated time in microseconds. */
         final long clockUs;
+
         final int recordCount;
+        /** Position of the tail in {@link #bytes}. */
         private final int tailStart;
-        /** Where the record in hand starts. */
+        /** Position of the selected record in {@link #bytes}. */
         int recordOffset;
 
+        /** Index of the selected record. */
         private int recordIndex;
 
         Batch(ByteBuffer bytes) {
             this.bytes = bytes;
             clockUs = bytes.getLong(0);
             long count = bytes.getInt(8) & 0xffffffffL;
-            if (12 + count * EVENT_BYTES > bytes.limit()) {
-                throw new WireFormatException("batch at clock " + clockUs + " names " + count + " records but holds "
-                        + (bytes.limit() - 12) / EVENT_BYTES);
+            if (BATCH_HEADER_BYTES + count * EVENT_BYTES > bytes.limit()) {
+                throw new WireFormatException("batch at clock " + clockUs + " announces " + count
+                        + " records but has only " + (bytes.limit() - BATCH_HEADER_BYTES) / EVENT_BYTES);
             }
             recordCount = (int) count;
-            tailStart = 12 + recordCount * EVENT_BYTES;
+            tailStart = BATCH_HEADER_BYTES + recordCount * EVENT_BYTES;
         }
 
+        /** Selects a record and returns its event code. */
         int selectRecord(int index) {
             recordIndex = index;
-            recordOffset = 12 + index * EVENT_BYTES;
+            recordOffset = BATCH_HEADER_BYTES + index * EVENT_BYTES;
             return u8(0);
         }
 
@@ -93,16 +141,20 @@
             return bytes.getFloat(recordOffset + offset);
         }
 
-        /** Address and port as one number, bytes in the order of the wire. */
+        /** A backend's address (4 bytes) and port (2 bytes) as one number, which serves as the backend's id. */
         long backendId(int offset) {
             return backendIdAt(recordOffset + offset);
         }
 
+        /** The same for a position in {@link #bytes} instead of a field of the record. */
         long backendIdAt(int position) {
             return (bytes.getInt(position) & 0xffffffffL) | (bytes.getShort(position + 4) & 0xffffL) << 32;
         }
 
-        /** Where the tail part that the field names starts, each of its items `size` bytes long. */
+        /**
+         * Returns the position in {@link #bytes} of the items to which a field refers. Fails if they end beyond the
+         * tail.
+         */
         int tailOffset(int offset, int itemBytes) {
             long start = u32(offset);
             long end = start + u32(offset + 4) * itemBytes;
@@ -113,6 +165,7 @@
             return tailStart + (int) start;
         }
 
+        /** Copies the bytes to which a field refers. */
         byte[] tailBytes(int offset) {
             int from = tailOffset(offset, 1);
             byte[] copy = new byte[i32(offset + 4)];
@@ -120,19 +173,29 @@
             return copy;
         }
 
+        /** The selected record, for error messages. */
         String describePosition() {
             return "batch at clock " + clockUs + ", record " + recordIndex + " (event " + u8(0) + ", instance " + u16(1)
                     + ")";
         }
     }
 
-    /** A reply being built; kept and used again. */
+    /** The reply to a batch. One object is used for all replies. */
     static final class Reply {
-        private ByteBuffer records = growBuffer(ByteBuffer.allocate(0), 64 * ACTION_BYTES);
-        private ByteBuffer tail = growBuffer(ByteBuffer.allocate(0), 256);
+        private static final int INITIAL_RECORDS = 64;
+        private static final int INITIAL_TAIL_BYTES = 256;
+        /** Offset of the first field after a record's code and instance number. */
+        private static final int FIRST_FIELD = 3;
+        /** Size of the reply's header: the number of records and the size of records and tail, 4 bytes each. */
+        private static final int REPLY_HEADER_BYTES = 8;
+
+        private ByteBuffer records = growBuffer(ByteBuffer.allocate(0), INITIAL_RECORDS * ACTION_BYTES);
+        private ByteBuffer tail = growBuffer(ByteBuffer.allocate(0), INITIAL_TAIL_BYTES);
         private int recordCount;
+        /** Clears the bytes of a new record that no field sets. */
         private final byte[] emptyRecord = new byte[ACTION_BYTES];
 
+        /** Copies a buffer into a larger one, at the same position. */
         private static ByteBuffer growBuffer(ByteBuffer source, int size) {
             ByteBuffer copy =
                     ByteBuffer.wrap(Arrays.copyOf(source.array(), size)).order(ByteOrder.LITTLE_ENDIAN);
@@ -146,6 +209,7 @@
             recordCount = 0;
         }
 
+        /** Appends a record that has only its code and instance; returns the buffer of the records. */
         private ByteBuffer startRecord(int code, int instance) {
             if (records.remaining() < ACTION_BYTES) {
                 records = growBuffer(records, records.capacity() * 2);
@@ -157,6 +221,7 @@
             return records;
         }
 
+        /** Position of the last record in {@link #records}. */
         private int lastRecordStart() {
             return records.position() - ACTION_BYTES;
         }
@@ -166,30 +231,34 @@
         }
 
         void addRecordWithByte(int code, int instance, int value) {
-            startRecord(code, instance).put(lastRecordStart() + 3, (byte) value);
+            startRecord(code, instance).put(lastRecordStart() + FIRST_FIELD, (byte) value);
         }
 
         void addRecordWithBackendId(int code, int instance, long backendId) {
             startRecord(code, instance);
-            putBackendId(3, backendId);
+            putBackendId(FIRST_FIELD, backendId);
         }
 
         void addRecordWithLong(int code, int instance, long value) {
-            startRecord(code, instance).putLong(lastRecordStart() + 3, value);
+            startRecord(code, instance).putLong(lastRecordStart() + FIRST_FIELD, value);
         }
 
+        /** Adds a record with 8 bytes and, after them, the lower 4 bytes of `intValue`. */
         void addRecordWithLongAndInt(int code, int instance, long value, long intValue) {
-            startRecord(code, instance).putLong(lastRecordStart() + 3, value).putInt(lastRecordStart() + 11, (int)
-                    intValue);
+            startRecord(code, instance)
+                    .putLong(lastRecordStart() + FIRST_FIELD, value)
+                    .putInt(lastRecordStart() + 11, (int) intValue);
         }
 
+        /** Adds a dispatch of an association to a backend, with its time limit in microseconds. */
         void addDispatch(int instance, long associationId, long backendId, long timeoutUs) {
             startRecord(HAND_OFF, instance)
-                    .putLong(lastRecordStart() + 3, associationId)
+                    .putLong(lastRecordStart() + FIRST_FIELD, associationId)
                     .putInt(lastRecordStart() + 17, (int) timeoutUs);
             putBackendId(11, backendId);
         }
 
+        /** Adds a record whose field at that offset refers to these bytes in the tail. */
         void addRecordWithBytes(int code, int instance, int fieldOffset, byte[] bytes) {
             while (tail.remaining() < bytes.length) {
                 tail = growBuffer(tail, tail.capacity() * 2);
@@ -199,13 +268,14 @@
             tail.put(bytes);
         }
 
+        /** Adds a message to all other instances: the receiver is -1. */
         void addPeerMessage(int instance, byte[] bytes) {
             addRecordWithBytes(PUBLISH, instance, 7, bytes);
-            records.putInt(lastRecordStart() + 3, -1);
+            records.putInt(lastRecordStart() + FIRST_FIELD, -1);
         }
 
         void addRecordWithText(int code, int instance, String text) {
-            addRecordWithBytes(code, instance, 3, text.getBytes(StandardCharsets.UTF_8));
+            addRecordWithBytes(code, instance, FIRST_FIELD, text.getBytes(StandardCharsets.UTF_8));
         }
 
         private void putBackendId(int offset, long backendId) {
@@ -213,16 +283,16 @@
             records.putShort(lastRecordStart() + offset + 4, (short) (backendId >>> 32));
         }
 
-        /** The whole frame; valid until the next call. */
+        /** Returns the reply as bytes: its header, the records and the tail. */
         byte[] toFrame() {
             int bodyBytes = records.position() + tail.position();
-            byte[] frame = new byte[8 + bodyBytes];
+            byte[] frame = new byte[REPLY_HEADER_BYTES + bodyBytes];
             ByteBuffer.wrap(frame)
                     .order(ByteOrder.LITTLE_ENDIAN)
                     .putInt(recordCount)
                     .putInt(bodyBytes);
-            System.arraycopy(records.array(), 0, frame, 8, records.position());
-            System.arraycopy(tail.array(), 0, frame, 8 + records.position(), tail.position());
+            System.arraycopy(records.array(), 0, frame, REPLY_HEADER_BYTES, records.position());
+            System.arraycopy(tail.array(), 0, frame, REPLY_HEADER_BYTES + records.position(), tail.position());
             return frame;
         }
     }
--- a/relay/src/main/java/ambertrestle/simhost/WireFormatException.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormatException.java
@@ -1,6 +1,6 @@
 package ambertrestle.simhost;
 
-/** Input that is not the wire's: the message names what and where. */
+/** The simulator's input violates the protocol; the message says where and how. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -37,6 +37,7 @@
         return file;
     }
 
+    /** Writes a roster of that many backends, all with the same status. */
     private Path writeRoster(int backends, String status) throws Exception {
         JsonArray endpoints = new JsonArray();
         IntStream.rangeClosed(1, backends)
@@ -76,6 +77,7 @@
         assertThat(out.toString().strip()).isEqualTo("fine");
     }
 
+    /** Reading must go on after a fault, so that one run of `check` reports all faults of both files. */
     @Test
     void checkReportsEveryFaultOfBothFilesByLineAndKey() throws Exception {
         String json = Files.readString(SHIPPED_CONFIGURATION)
@@ -90,7 +92,7 @@
                 .containsExactly(
                         config + ":7: settings: useCases.0.cutOff is malformed: expected a number, got soon",
                         config + ":1: seed is malformed: expected 64 bits of hex, got x1",
-                        config + ":2: limits.sockets is too small: expected 128 at least, got 12",
+                        config + ":2: limits.sockets is too small: expected at least 128, got 12",
                         operator + ":3: log.format is not known: expected one of text, json, got xml",
                         operator + ":4: log.levle is not known",
                         operator + ":5: lgo is not known; the nearest known is log");
@@ -104,12 +106,13 @@
                 .isEqualTo(1);
         assertThat(err.toString())
                 .contains(config + ":2: is not JSON from here on")
-                .contains(operator + ":2: is no TOML");
+                .contains(operator + ":2: is not valid TOML");
         assertThat(run("check", "--config", directory.resolve("nowhere.json").toString()))
                 .isEqualTo(1);
         assertThat(err.toString()).contains("nowhere.json:1: cannot be read");
     }
 
+    /** Settings that only the balancer reads must be checked too; otherwise `check` accepts what `serve` refuses. */
     @Test
     void checkReportsFaultsThatOnlyTheBalancerDetects() throws Exception {
         Path missingKey = writeFile(
@@ -149,7 +152,11 @@
         assertThat(lines.get(1)).matches("1 s-\\d+");
     }
 
-    /** Nothing that one key does may move another: all at once as each alone. */
+    /**
+     * The placement of a key must not depend on the keys placed before it, nor on the seed. It would if the preview
+     * kept state of earlier keys, such as their pins or connections; `place` would then print other backends than
+     * relays use.
+     */
     @Test
     void placementOfOneKeyDoesNotDependOnOtherKeys() throws Exception {
         RelayConfiguration configuration =
@@ -189,7 +196,7 @@
                         malformedRoster.toString(),
                         "ab"))
                 .isEqualTo(1);
-        assertThat(err.toString()).contains("is no roster: status of s-1 is not known");
+        assertThat(err.toString()).contains("is not a valid roster: status of s-1 is not known");
     }
 
     @Test
@@ -197,6 +204,6 @@
         Path operator = writeFile("operator.toml", "[log]\nformat = 3\n");
         assertThat(run("serve", "--operator", operator.toString())).isEqualTo(1);
         assertThat(err.toString())
-                .contains("operator.toml:2: log.format is malformed: expected a text in quotes, got 3");
+                .contains("operator.toml:2: log.format is malformed: expected a string in quotes, got 3");
     }
 }
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator types and reads about what is kept. */
+/** The `state` commands, and the faults of the operator file's table [durable]. */
 class StateCommandTest {
+    /** Unix time in nanoseconds. */
     private static final long SNAPSHOT_TIME = 1_700_000_000_000_000_000L;
 
     @TempDir
@@ -58,6 +59,7 @@
         return Files.write(directory.resolve("state-000000000000000001"), bytes);
     }
 
+    /** Reads an operator file with these keys in [durable]; returns its faults as `line: fault`. */
     private List<String> faultsOfDurableTable(String keys) throws Exception {
         Path file = Files.writeString(directory.resolve("operator.toml"), "[durable]\n" + keys);
         try {
@@ -101,7 +103,7 @@
         assertThat(faultsOfDurableTable("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
         assertThat(faultsOfDurableTable("folder = \"" + directory.resolve("none") + "\"\n"))
                 .containsExactly(
-                        "2: durable.folder is not there: expected a folder that outlives the relay, got DIR/none");
+                        "2: durable.folder is not a directory: expected an existing one that outlasts the relay process, got DIR/none");
         String validFolder = "folder = \"" + directory + "\"\n";
         assertThat(faultsOfDurableTable(validFolder)).isEmpty();
         assertThat(faultsOfDurableTable(validFolder + "most-age = \"-5s\"\n"))
@@ -110,7 +112,7 @@
         assertThat(faultsOfDurableTable(validFolder + "interval = \"50ms\"\n"))
                 .containsExactly("3: durable.interval is malformed: expected a time from 100ms to 1h");
         assertThat(faultsOfDurableTable(validFolder + "interval = \"10s\"\nmost-age = \"10s\"\n"))
-                .containsExactly("4: durable.most-age is malformed: expected more than interval");
+                .containsExactly("4: durable.most-age is malformed: expected a time longer than interval");
         assertThat(faultsOfDurableTable(validFolder + "most-megabytes = 0\nsize = 3\n"))
                 .containsExactly(
                         "3: durable.most-megabytes is malformed: expected a whole number from 1 to 1024, got 0",
--- a/relay/src/test/java/ambertrestle/relay/server/LogTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/LogTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
+    /** Runs the action and returns what it logs, formatted. */
     private static List<String> formatLogged(Formatter formatter, Runnable action) {
         List<String> lines = new ArrayList<>();
         Handler handler = new Handler() {
@@ -38,6 +39,7 @@
         return lines;
     }
 
+    /** The message has braces and quotes, which must be written as they are. */
     private static void logSampleEvent() {
         Log.log(
                 System.Logger.Level.INFO,
@@ -80,7 +82,10 @@
                         .contains("LogTest"));
     }
 
-    /** What libraries log has no event of ours. */
+    /**
+     * Messages of libraries have no event object as parameter. They must be logged with their parameters in place, not
+     * as a message without them or not at all.
+     */
     @Test
     void usesLoggerNameAsEventOfLibraryMessages() {
         assertThat(formatLogged(new Log.TextFormatter(), () -> Logger.getLogger("ambertrestle.other")
--- a/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RelayConfigurationTest {
+    /** Has an unknown key, `strange`, which must be ignored. */
     private static final String VALID_CONFIGURATION =
             """
         {"name":"n3","listen":"127.0.0.1:80","discovery":"127.0.0.2:85","seed":"ff00000000000001",
@@ -30,6 +31,7 @@
     @TempDir
     private Path directory;
 
+    /** Reads the text as configuration, in an environment that sets the listen address. */
     private RelayConfiguration read(String json) throws Exception {
         return RelayConfiguration.read(Map.of(
                 "BALANCER_CONFIG",
@@ -78,6 +80,10 @@
                 .hasMessage(message);
     }
 
+    /**
+     * At a reload the roster address must come from the file even though the environment, which never changes in a
+     * running process, has another one. Otherwise a relay could not follow the roster service to a new address.
+     */
     @Test
     void reloadTakesRosterAddressFromFileAndListsKeysNeedingRestart() throws Exception {
         RelayConfiguration current = read(VALID_CONFIGURATION);
--- a/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
+++ b/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class TomlDocumentTest {
+    /** The faults as they are printed. */
     private static List<String> faultMessages(TomlDocument document) {
         return document.faults().stream().map(TomlDocument.Fault::toString).toList();
     }
@@ -63,7 +64,7 @@
         assertThat(faultMessages(document))
                 .anyMatch(fault -> fault.endsWith("name is missing"))
                 .contains(
-                        "f:1: a is malformed: expected a text in quotes, got a table",
-                        "f:2: b is malformed: expected tables written [[b]]");
+                        "f:1: a is malformed: expected a string in quotes, got a table",
+                        "f:2: b is malformed: expected an array of tables, written [[b]]");
     }
 }
--- a/relay/src/test/java/ambertrestle/simhost/SimHostTest.java
+++ b/relay/src/test/java/ambertrestle/simhost/SimHostTest.java
@@ -11,8 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 class SimHostTest {
+    /** The batch's clock, in microseconds. */
     private static final String CLOCK_HEX = "5a5c800000000000";
+    /** A ready backend, started long ago, with weight 1. */
     private static final String ROSTER_ENTRY_HEX = "0000000000000000 0000 01 0a124a07 8b13 0000803f 0000 0000";
+
     private final BalancerFixture fixture = new BalancerFixture();
 
     private static byte[] parseHex(String hex) {
@@ -23,7 +26,7 @@
         return HexFormat.of().toHexDigits(Integer.reverseBytes(value));
     }
 
-    /** A batch of the records, each padded to its 56 bytes, with the tail. */
+    /** The frame of a batch with these records, each padded to 56 bytes, and this tail. */
     private static byte[] encodeBatch(String tail, String... records) {
         StringBuilder body = new StringBuilder(CLOCK_HEX + toLittleEndianHex(records.length));
         for (String record : records) {
@@ -34,6 +37,7 @@
         return parseHex(toLittleEndianHex(body.toString().replace(" ", "").length() / 2) + body);
     }
 
+    /** Runs a host on these frames and returns its replies in hex. */
     private String runSimHost(byte[]... batches) throws Exception {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         for (byte[] batch : batches) {
@@ -44,6 +48,7 @@
         return HexFormat.of().formatHex(out.toByteArray());
     }
 
+    /** The fixture's settings as the simulator writes them, with its names and microseconds, and an unknown key. */
     private String encodeSettings() {
         StringBuilder text = new StringBuilder("strange.key=1\n");
         fixture.settings.forEach((name, value) -> text.append(name.replace("rules.", "guarantees.")
@@ -61,6 +66,7 @@
         return text.toString();
     }
 
+    /** A batch that starts instance 3 with these settings and gives it a cached roster of one backend. */
     private byte[] encodeStartBatch(String settings) {
         String hex = HexFormat.of().formatHex(settings.getBytes(StandardCharsets.UTF_8));
         int length = hex.length() / 2;
