--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -255,8 +255,8 @@
                 err.println("ambertrestle: " + rosterFile + " is not a valid roster: " + e.getMessage());
                 return 1;
             }
-            PlacementPreview preview =
-                    new PlacementPreview(configuration.values(), rosterMessage, System.currentTimeMillis() * 1_000_000);
+            PlacementPreview preview = new PlacementPreview(
+                    configuration.reducerConfiguration(), rosterMessage, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
             int lineNumber = 0;
             BufferedReader in = keys.isEmpty()
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -64,7 +64,7 @@
     }
 
     private static PersistenceConfiguration readPersistenceConfiguration(TomlDocument.Table table) {
-        String folder = table.readText("folder", null);
+        String folder = table.readString("folder", null);
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
             table.addFault(
                     "folder",
--- a/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -36,7 +36,7 @@
         int connectTimeoutMillis,
         ConfiguredNames names,
         RosterMessage initialRoster,
-        ReducerConfiguration values) {
+        ReducerConfiguration reducerConfiguration) {
     /**
      * File descriptors, out of limits.sockets, that are reserved for the JVM's own files, the selector, the roster
      * watch and connections that are being refused.
@@ -103,7 +103,7 @@
                         new TomlDocument.Fault(path, lineIndex.syntaxErrorLine(), "", "is not JSON from here on"));
             }
             RelayConfiguration configuration = read(environment);
-            new Balancer(configuration.values.settings(), configuration.values.seed(), 0);
+            new Balancer(configuration.reducerConfiguration.settings(), configuration.reducerConfiguration.seed(), 0);
             return List.of();
         } catch (IOException e) {
             return List.of(new TomlDocument.Fault(path, 1, "", "cannot be read"));
@@ -250,7 +250,7 @@
         if (!name.equals(reloaded.name)) {
             keys.add("name");
         }
-        if (!values.settings().equals(reloaded.values.settings())) {
+        if (!reducerConfiguration.settings().equals(reloaded.reducerConfiguration.settings())) {
             keys.add("settings");
         }
         return keys;
--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -76,9 +76,10 @@
         rosterWatcher = new RosterWatcher(vertx, this::onNetworkEvent);
         if (stateStore == null) {
             statePersister = null;
-            reducer = new Reducer(configuration.values(), configuration.initialRoster(), now());
+            reducer = new Reducer(configuration.reducerConfiguration(), configuration.initialRoster(), now());
         } else {
-            String rosterAddress = configuration.values().rosterAddress().toString();
+            String rosterAddress =
+                    configuration.reducerConfiguration().rosterAddress().toString();
             StateSnapshot snapshot = stateStore.restore(now(), logMessages);
             Recovery.InitialState initialState = Recovery.recover(
                     configuration.initialRoster(),
@@ -96,7 +97,7 @@
                     () -> handleEvent(new Event.LearnedStateRequested()),
                     rosterWatcher,
                     unixTimeOffsetNanos);
-            reducer = new Reducer(configuration.values(), initialState, true, Balancer::new, now());
+            reducer = new Reducer(configuration.reducerConfiguration(), initialState, true, Balancer::new, now());
         }
     }
 
@@ -199,7 +200,8 @@
                                 ? ""
                                 : "; changed keys that take effect only after a restart: " + String.join(", ", keys)));
         handleEvent(new Event.ConfigurationReloaded(
-                reloaded.values().rosterAddress(), reloaded.values().maxSockets()));
+                reloaded.reducerConfiguration().rosterAddress(),
+                reloaded.reducerConfiguration().maxSockets()));
     }
 
     /**
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -65,7 +65,7 @@
         }
 
         /** Reads a string. */
-        public String readText(String key, String defaultValue) {
+        public String readString(String key, String defaultValue) {
             Object value = readValue(key, defaultValue);
             return value instanceof String text
                     ? text
@@ -74,7 +74,7 @@
 
         /** Reads a string that must be one of the choices. */
         public String readChoice(String key, String defaultValue, Collection<String> choices) {
-            String word = readText(key, defaultValue);
+            String word = readString(key, defaultValue);
             if (word != null && !choices.contains(word)) {
                 addFault(
                         key,
--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -163,10 +163,11 @@
                 RelayConfiguration.read(Map.of("BALANCER_CONFIG", SHIPPED_CONFIGURATION.toString()));
         var rosterMessage = ambertrestle.relay.wire.RosterMessage.decode(
                 new JsonObject(Files.readString(writeRoster(50, "in_service"))));
-        PlacementPreview sharedPreview = new PlacementPreview(configuration.values(), rosterMessage, 1);
+        PlacementPreview sharedPreview = new PlacementPreview(configuration.reducerConfiguration(), rosterMessage, 1);
         for (long key = 1; key < 300; key++) {
             assertThat(sharedPreview.selectBackend(key))
-                    .isEqualTo(new PlacementPreview(configuration.values().withSeed(key), rosterMessage, 1)
+                    .isEqualTo(new PlacementPreview(
+                                    configuration.reducerConfiguration().withSeed(key), rosterMessage, 1)
                             .selectBackend(key));
         }
     }
--- a/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -46,13 +46,13 @@
         assertThat(configuration.listenAddress()).isEqualTo(new Address("127.0.0.5", 81));
         assertThat(configuration.connectTimeoutMillis()).isEqualTo(150);
         assertThat(configuration.initialRoster().entries().get(0).stage()).isEqualTo(Stage.DRAINING);
-        assertThat(configuration.values().seed()).isEqualTo(0xff00000000000001L);
+        assertThat(configuration.reducerConfiguration().seed()).isEqualTo(0xff00000000000001L);
         assertThat(configuration.names()).isEqualTo(new ConfiguredNames(List.of("read it"), List.of("x")));
-        assertThat(configuration.values().cutOffs()).containsExactly(2_000_000L);
-        assertThat(configuration.values().messageGoalTime()).isEqualTo(60_000);
-        assertThat(configuration.values().maxSockets()).isEqualTo(136);
-        assertThat(configuration.values().isPassThrough()).isTrue();
-        assertThat(configuration.values().settings())
+        assertThat(configuration.reducerConfiguration().cutOffs()).containsExactly(2_000_000L);
+        assertThat(configuration.reducerConfiguration().messageGoalTime()).isEqualTo(60_000);
+        assertThat(configuration.reducerConfiguration().maxSockets()).isEqualTo(136);
+        assertThat(configuration.reducerConfiguration().isPassThrough()).isTrue();
+        assertThat(configuration.reducerConfiguration().settings())
                 .containsEntry("relays", "4")
                 .containsEntry("useCases.count", "1")
                 .containsEntry("useCases.0.effect", "retriable")
@@ -98,8 +98,8 @@
                 "BALANCER_CONFIG",
                 Files.writeString(directory.resolve("d.json"), changedJson).toString());
         RelayConfiguration reloaded = RelayConfiguration.read(environment);
-        assertThat(reloaded.values().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
-        assertThat(reloaded.values().maxSockets()).isEqualTo(236);
+        assertThat(reloaded.reducerConfiguration().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
+        assertThat(reloaded.reducerConfiguration().maxSockets()).isEqualTo(236);
         assertThat(current.keysNeedingRestart(reloaded)).isEmpty();
         assertThat(current.keysNeedingRestart(read(VALID_CONFIGURATION
                         .replace("\"siblings\":4", "\"siblings\":5")
--- a/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
+++ b/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
@@ -58,8 +58,8 @@
     void reportsMissingKeyAndTableInPlaceOfValue() {
         TomlDocument document = TomlDocument.parse("f", "[a]\n[b]\n");
         TomlDocument.Table rootTable = document.rootTable();
-        rootTable.readText("name", null);
-        rootTable.readText("a", "x");
+        rootTable.readString("name", null);
+        rootTable.readString("a", "x");
         rootTable.readTables("b");
         assertThat(faultMessages(document))
                 .anyMatch(fault -> fault.endsWith("name is missing"))
