--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -34,7 +34,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 fine, 1 faulty input or a start that failed, 2 wrong usage, 143 told to stop by
+ * The command line of the daemon. Exit codes: 0 success, 1 faulty input or failed start, 2 wrong usage, 143 ended by
  * SIGTERM.
  */
 @Command(
@@ -49,12 +49,12 @@
             Cli.PlaceCommand.class,
             StateCommand.class
         },
-        footer = {"", "Exit codes: 0 fine; 1 faulty input, or a start that failed; 2 wrong usage; 143 ended by SIGTERM."
-        })
+        footer = {"", "Exit codes: 0 success; 1 faulty input or failed start; 2 wrong usage; 143 ended by SIGTERM."})
 public final class Cli implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
+    /** The parser and executor of all commands. */
     public static CommandLine commandLine() {
         return new CommandLine(new Cli()).setCaseInsensitiveEnumValuesAllowed(true);
     }
@@ -65,7 +65,7 @@
         return 2;
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, description = "One relay on real sockets, until SIGTERM.")
+    @Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs one relay until SIGTERM.")
     static final class ServeCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -73,35 +73,38 @@
         @Option(
                 names = "--config",
                 paramLabel = "FILE",
-                description = "The configuration, JSON; default: $BALANCER_CONFIG.")
-        private String config;
+                description = "The configuration, in JSON; default: $BALANCER_CONFIG.")
+        private String configurationFile;
 
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "The operator file, TOML; default: none, nothing more is on.")
-        private Path operator;
+                description = "The operator file, in TOML; default: none, optional features are off.")
+        private Path operatorFile;
 
         @Option(
                 names = "--log-format",
                 paramLabel = "text|json",
-                description = "How the log is written; default: text.")
-        private Log.Format form;
+                description = "Format of the log; default: the operator file's, else text.")
+        private Log.Format logFormat;
 
         @Override
         public Integer call() throws InterruptedException {
-            OperatorConfiguration file = operator == null
+            OperatorConfiguration operatorConfiguration = operatorFile == null
                     ? OperatorConfiguration.DEFAULT
-                    : readOperatorConfiguration(operator, spec.commandLine().getErr());
-            if (file == null) {
+                    : readOperatorConfiguration(operatorFile, spec.commandLine().getErr());
+            if (operatorConfiguration == null) {
                 return 1;
             }
             Map<String, String> environment = new HashMap<>(System.getenv());
-            if (config != null) {
-                environment.put("BALANCER_CONFIG", config);
+            if (configurationFile != null) {
+                environment.put("BALANCER_CONFIG", configurationFile);
             }
-            RelayServer.run(environment, form != null ? form : file.logFormat(), file.persistence());
-            // The JVM ends by signal, or by a start that failed; this thread has nothing more to do.
+            RelayServer.run(
+                    environment,
+                    logFormat != null ? logFormat : operatorConfiguration.logFormat(),
+                    operatorConfiguration.persistence());
+            // Waits forever: a signal or a failed start ends the JVM, and returning would end it now.
             Thread.currentThread().join();
             return 0;
         }
@@ -110,7 +113,7 @@
     @Command(
             name = "simhost",
             mixinStandardHelpOptions = true,
-            description = "Many relays on the simulator's wire: standard input and output.")
+            description = "Runs relays for the simulator, on its protocol over standard input and output.")
     static final class SimHostCommand implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -118,19 +121,19 @@
         }
     }
 
-    /** Null where it is faulty, which `err` was told by file, line and key. */
+    /** Reads the operator file; if it is faulty, prints each fault to `err` and returns null. */
     public static OperatorConfiguration readOperatorConfiguration(Path path, PrintWriter err) {
         try {
             return OperatorConfiguration.read(path);
         } catch (IOException e) {
             err.println("ambertrestle: " + e.getMessage());
         } catch (OperatorConfiguration.InvalidOperatorFileException e) {
-            e.faults().forEach(f -> err.println("ambertrestle: " + f));
+            e.faults().forEach(fault -> err.println("ambertrestle: " + fault));
         }
         return null;
     }
 
-    /** Plays the simulator's batches; gives the exit code. */
+    /** Processes the simulator's batches until standard input ends; returns the exit code. */
     public static int runSimHost() {
         try {
             FileOutputStream out = new FileOutputStream(FileDescriptor.out);
@@ -148,7 +151,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads the configuration and an operator file, names every fault by file, line and key, and starts nothing.")
+                    "Checks the configuration and an operator file, and prints every fault with file, line and key. Starts nothing.")
     static final class CheckCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -156,30 +159,30 @@
         @Option(
                 names = "--config",
                 paramLabel = "FILE",
-                description = "The configuration, JSON; default: $BALANCER_CONFIG, where it is set.")
-        private String config;
+                description = "The configuration, in JSON; default: $BALANCER_CONFIG, if it is set.")
+        private String configurationFile;
 
-        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, TOML.")
-        private Path operator;
+        @Option(names = "--operator", paramLabel = "FILE", description = "The operator file, in TOML.")
+        private Path operatorFile;
 
         @Override
         public Integer call() {
             PrintWriter err = spec.commandLine().getErr();
             Map<String, String> environment = new HashMap<>(System.getenv());
-            if (config != null) {
-                environment.put("BALANCER_CONFIG", config);
+            if (configurationFile != null) {
+                environment.put("BALANCER_CONFIG", configurationFile);
             }
-            if (operator == null && environment.get("BALANCER_CONFIG") == null) {
-                err.println("ambertrestle: nothing to check: give --config, --operator or BALANCER_CONFIG");
+            if (operatorFile == null && environment.get("BALANCER_CONFIG") == null) {
+                err.println("ambertrestle: nothing to check: expected --config, --operator or BALANCER_CONFIG");
                 return 2;
             }
             List<String> faults = new ArrayList<>();
             if (environment.get("BALANCER_CONFIG") != null) {
-                RelayConfiguration.findFaults(environment).forEach(f -> faults.add(f.toString()));
+                RelayConfiguration.findFaults(environment).forEach(fault -> faults.add(fault.toString()));
             }
-            if (operator != null) {
+            if (operatorFile != null) {
                 try {
-                    OperatorConfiguration.read(operator);
+                    OperatorConfiguration.read(operatorFile);
                 } catch (IOException e) {
                     faults.add(e.getMessage());
                 } catch (OperatorConfiguration.InvalidOperatorFileException e) {
@@ -198,7 +201,7 @@
             name = "place",
             mixinStandardHelpOptions = true,
             description =
-                    "Says for each key which backend a relay just started would pick: one `key backend` a line, `-` for none.")
+                    "Prints for each key the backend that a newly started relay would select: one `key backend` per line, `-` for none.")
     static final class PlaceCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -207,66 +210,67 @@
                 names = "--config",
                 paramLabel = "FILE",
                 required = true,
-                description = "The configuration whose settings hold, JSON.")
-        private String config;
+                description = "The configuration whose settings apply, in JSON.")
+        private String configurationFile;
 
         @Option(
                 names = "--roster",
                 paramLabel = "FILE",
                 description =
-                        "The list of backends in the roster service's form, JSON; default: `known` of the configuration.")
-        private Path roster;
+                        "The roster, in the JSON format of the roster service; default: `known` of the configuration.")
+        private Path rosterFile;
 
         @Parameters(
                 paramLabel = "KEY",
-                description = "Keys, up to 64 bits of hex each; none: one a line from standard input.")
+                description = "Keys, up to 64 bits of hex each; default: one per line from standard input.")
         private List<String> keys = new ArrayList<>();
 
         @Override
         public Integer call() throws IOException {
             PrintWriter err = spec.commandLine().getErr();
-            RelayConfiguration sheet;
-            RosterMessage message;
+            RelayConfiguration configuration;
+            RosterMessage rosterMessage;
             try {
-                sheet = RelayConfiguration.read(Map.of(
+                // Nothing connects to these addresses; a configuration may leave them to the environment.
+                configuration = RelayConfiguration.read(Map.of(
                         "BALANCER_CONFIG",
-                        config,
+                        configurationFile,
                         "BALANCER_LISTEN",
                         "127.0.0.1:1",
                         "BALANCER_DISCOVERY",
                         "127.0.0.1:1"));
-                message = roster == null
-                        ? sheet.initialRoster()
-                        : RosterMessage.decode(new JsonObject(Files.readString(roster)));
+                rosterMessage = rosterFile == null
+                        ? configuration.initialRoster()
+                        : RosterMessage.decode(new JsonObject(Files.readString(rosterFile)));
             } catch (RelayConfiguration.InvalidConfigurationException e) {
-                err.println("ambertrestle: " + config + ": " + e.getMessage());
+                err.println("ambertrestle: " + configurationFile + ": " + e.getMessage());
                 return 1;
             } catch (IOException e) {
-                err.println("ambertrestle: " + roster + " cannot be read");
+                err.println("ambertrestle: " + rosterFile + " cannot be read");
                 return 1;
             } catch (DecodeException e) {
-                err.println("ambertrestle: " + roster + " is not JSON");
+                err.println("ambertrestle: " + rosterFile + " is not JSON");
                 return 1;
             } catch (IllegalArgumentException e) {
-                err.println("ambertrestle: " + roster + " is no roster: " + e.getMessage());
+                err.println("ambertrestle: " + rosterFile + " is not a valid roster: " + e.getMessage());
                 return 1;
             }
-            PlacementPreview placement =
-                    new PlacementPreview(sheet.reducerConfiguration(), message, System.currentTimeMillis() * 1_000_000);
+            PlacementPreview preview = new PlacementPreview(
+                    configuration.reducerConfiguration(), rosterMessage, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
-            int line = 0;
+            int lineNumber = 0;
             BufferedReader in = keys.isEmpty()
                     ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
                     : new BufferedReader(new java.io.StringReader(String.join("\n", keys)));
             for (String key = in.readLine(); key != null; key = in.readLine()) {
-                line++;
+                lineNumber++;
                 if (!key.strip().matches("[0-9a-fA-F]{1,16}") || Long.parseUnsignedLong(key.strip(), 16) == 0) {
                     out.flush();
-                    err.println("ambertrestle: key " + line
+                    err.println("ambertrestle: key " + lineNumber
                             + " is malformed: expected 1 to 16 digits of hex, not 0, got " + key);
                     return 1;
                 }
-                String backend = placement.selectBackend(Long.parseUnsignedLong(key.strip(), 16));
+                String backend = preview.selectBackend(Long.parseUnsignedLong(key.strip(), 16));
                 out.println(key.strip() + " " + (backend == null ? "-" : backend));
             }
             out.flush();
--- a/relay/src/main/java/ambertrestle/relay/server/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/server/Log.java
@@ -17,110 +17,117 @@
 import java.util.logging.LogRecord;
 
 /**
- * What a relay logs: one line a happening on standard error, with time, level, event name, words, and named fields.
- * System.Logger is the face, the JDK's own logging stands behind it, and Jackson writes JSON; only text is loaded at a
- * start that asks for no JSON.
+ * The log of a relay: one line per event on standard error, with time, level, event name, message and named fields.
+ * Messages go through System.Logger to java.util.logging. Jackson writes the JSON format; its classes are loaded only
+ * if that format is selected.
  */
 public final class Log {
-    /** How lines are written. */
+    /** TEXT: one line of plain text per event. JSON: one JSON object per line. */
     public enum Format {
         TEXT,
         JSON
     }
 
     private static final Logger LOG = System.getLogger("ambertrestle");
-    /** Rides on a log record as its parameter. */
+
+    /** Event name and fields of a message, passed as the only parameter of its log record. */
     private record LogEvent(String event, Map<String, String> fields) {}
 
-    private static String relay = "";
+    /** The value of the field `relay` in JSON lines. */
+    private static String relayName = "";
 
     private Log() {}
 
-    /** Before the first line; `name` is the relay's, a field of every line in JSON. */
-    static void configure(Format form, String name) {
-        relay = name;
-        Formatter formatter = form == Format.JSON ? new JsonFormatter() : new TextFormatter();
+    /** Sets the format of all lines and the relay's name. To be called before the first message. */
+    static void configure(Format format, String name) {
+        relayName = name;
+        Formatter formatter = format == Format.JSON ? new JsonFormatter() : new TextFormatter();
         for (Handler handler : java.util.logging.Logger.getLogger("").getHandlers()) {
             handler.setFormatter(formatter);
         }
     }
 
-    static void log(Level level, String event, String line, Map<String, String> fields) {
-        LOG.log(level, line, new LogEvent(event, fields));
+    /** Logs a message that is written as it is: braces in it are not placeholders. */
+    static void log(Level level, String event, String message, Map<String, String> fields) {
+        LOG.log(level, message, new LogEvent(event, fields));
     }
 
-    static void log(Level level, String event, String line) {
-        log(level, event, line, Map.of());
+    static void log(Level level, String event, String message) {
+        log(level, event, message, Map.of());
     }
 
-    static void logFailure(String event, String line, Throwable why) {
-        StringWriter trace = new StringWriter();
-        why.printStackTrace(new PrintWriter(trace));
-        log(Level.ERROR, event, line, Map.of("trace", trace.toString().strip()));
+    /** Logs at level ERROR, with the stack trace in the field `trace`. */
+    static void logFailure(String event, String message, Throwable failure) {
+        StringWriter stackTrace = new StringWriter();
+        failure.printStackTrace(new PrintWriter(stackTrace));
+        log(Level.ERROR, event, message, Map.of("trace", stackTrace.toString().strip()));
     }
 
-    /** Lines of libraries have no happening: their logger's name stands for the event. */
+    /** The event of a record. Messages of libraries have none; the name of their logger is used as the event name. */
     private static LogEvent eventOf(LogRecord record) {
-        Object[] riding = record.getParameters();
-        return riding != null && riding.length == 1 && riding[0] instanceof LogEvent h
-                ? h
+        Object[] parameters = record.getParameters();
+        return parameters != null && parameters.length == 1 && parameters[0] instanceof LogEvent logEvent
+                ? logEvent
                 : new LogEvent(String.valueOf(record.getLoggerName()), Map.of());
     }
 
-    private static String level(LogRecord record) {
+    /** The level's name, with ERROR in place of SEVERE. */
+    private static String levelName(LogRecord record) {
         return record.getLevel().intValue() >= java.util.logging.Level.SEVERE.intValue()
                 ? "ERROR"
                 : record.getLevel().getName();
     }
 
+    /** Writes `time LEVEL event: message field=value ...`; a stack trace follows on lines of its own. */
     static final class TextFormatter extends Formatter {
         private static final DateTimeFormatter TIME =
                 DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
 
         @Override
         public String format(LogRecord record) {
-            LogEvent h = eventOf(record);
-            StringBuilder out = new StringBuilder(160);
-            TIME.formatTo(record.getInstant(), out);
-            out.append(' ')
-                    .append(level(record))
+            LogEvent logEvent = eventOf(record);
+            StringBuilder line = new StringBuilder(160);
+            TIME.formatTo(record.getInstant(), line);
+            line.append(' ')
+                    .append(levelName(record))
                     .append(' ')
-                    .append(h.event)
+                    .append(logEvent.event)
                     .append(": ")
                     .append(
-                            h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                            logEvent.fields.isEmpty() && logEvent.event.equals(record.getLoggerName())
                                     ? formatMessage(record)
                                     : record.getMessage());
-            h.fields.forEach(
-                    (name, value) -> out.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=")
+            logEvent.fields.forEach(
+                    (name, value) -> line.append(name.equals("trace") ? System.lineSeparator() : " " + name + "=")
                             .append(value));
             if (record.getThrown() != null) {
-                out.append(" (").append(record.getThrown()).append(')');
+                line.append(" (").append(record.getThrown()).append(')');
             }
-            return out.append(System.lineSeparator()).toString();
+            return line.append(System.lineSeparator()).toString();
         }
     }
 
+    /** Writes one JSON object per line, with time, level, event, relay and message before the other fields. */
     static final class JsonFormatter extends Formatter {
         private final JsonFactory factory = new JsonFactory();
 
         @Override
         public String format(LogRecord record) {
-            LogEvent h = eventOf(record);
-            StringWriter out = new StringWriter(240);
-            try (JsonGenerator json = factory.createGenerator(out)) {
+            LogEvent logEvent = eventOf(record);
+            StringWriter line = new StringWriter(240);
+            try (JsonGenerator json = factory.createGenerator(line)) {
                 json.writeStartObject();
                 json.writeStringField(
                         "time", Instant.ofEpochMilli(record.getMillis()).toString());
-                json.writeStringField("level", level(record));
-                json.writeStringField("event", h.event);
-                json.writeStringField("relay", relay);
+                json.writeStringField("level", levelName(record));
+                json.writeStringField("event", logEvent.event);
+                json.writeStringField("relay", relayName);
                 json.writeStringField(
                         "message",
-                        h.fields.isEmpty() && h.event.equals(record.getLoggerName())
+                        logEvent.fields.isEmpty() && logEvent.event.equals(record.getLoggerName())
                                 ? formatMessage(record)
                                 : record.getMessage());
-                for (Map.Entry<String, String> field : h.fields.entrySet()) {
+                for (Map.Entry<String, String> field : logEvent.fields.entrySet()) {
                     json.writeStringField(field.getKey(), field.getValue());
                 }
                 if (record.getThrown() != null) {
@@ -130,7 +137,7 @@
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            return out.append(System.lineSeparator()).toString();
+            return line.append(System.lineSeparator()).toString();
         }
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -9,14 +9,21 @@
 import java.util.Locale;
 
 /**
- * What operators switch on beside the platform's configuration, in a TOML file of their own; the one place where it is
- * read, checked and given defaults. Nothing in it is needed to serve. `durable` is null where nothing is kept.
+ * The operator file: optional features that are set separately from the platform's configuration, in TOML. This class
+ * is the only place where the file is read and checked and where its defaults are defined. A relay serves without it.
+ *
+ * @param persistence where and how to persist the relay's state; null if it isn't persisted
  */
 public record OperatorConfiguration(Log.Format logFormat, PersistenceConfiguration persistence) {
-    private static final long LEAST_INTERVAL = 100_000_000L, MOST_INTERVAL = 3_600_000_000_000L;
+    /** Lower bound of durable.interval: 100 ms. */
+    private static final long MIN_INTERVAL_NANOS = 100_000_000L;
+    /** Upper bound of durable.interval: 1 h. */
+    private static final long MAX_INTERVAL_NANOS = 3_600_000_000_000L;
+
+    /** The configuration of a relay that has no operator file. */
     public static final OperatorConfiguration DEFAULT = new OperatorConfiguration(Log.Format.TEXT, null);
 
-    /** All faults at once, each with file, line and key. */
+    /** The operator file has faults; the message is the first of them. */
     public static final class InvalidOperatorFileException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient List<TomlDocument.Fault> faults;
@@ -26,45 +33,59 @@
             this.faults = faults;
         }
 
+        /** All faults of the file, in the order of their lines. */
         public List<TomlDocument.Fault> faults() {
             return faults;
         }
     }
 
+    /**
+     * Reads and checks an operator file.
+     *
+     * @throws IOException if the file cannot be read; the message can be shown to the operator
+     * @throws InvalidOperatorFileException if a key is missing, malformed or unknown
+     */
     public static OperatorConfiguration read(Path path) throws IOException, InvalidOperatorFileException {
         return read(TomlDocument.read(path));
     }
 
-    static OperatorConfiguration read(TomlDocument sheet) throws InvalidOperatorFileException {
-        TomlDocument.Table top = sheet.rootTable();
-        TomlDocument.Table log = top.readTable("log");
-        String form = log.readChoice("format", "text", List.of("text", "json"));
-        log.reportUnknownKeys();
-        PersistenceConfiguration durable = top.has("durable") ? durable(top.readTable("durable")) : null;
-        top.reportUnknownKeys();
-        if (!sheet.faults().isEmpty()) {
-            throw new InvalidOperatorFileException(sheet.faults());
+    static OperatorConfiguration read(TomlDocument document) throws InvalidOperatorFileException {
+        TomlDocument.Table rootTable = document.rootTable();
+        TomlDocument.Table logTable = rootTable.readTable("log");
+        String format = logTable.readChoice("format", "text", List.of("text", "json"));
+        logTable.reportUnknownKeys();
+        PersistenceConfiguration persistence =
+                rootTable.has("durable") ? readPersistenceConfiguration(rootTable.readTable("durable")) : null;
+        rootTable.reportUnknownKeys();
+        if (!document.faults().isEmpty()) {
+            throw new InvalidOperatorFileException(document.faults());
         }
-        return new OperatorConfiguration(Log.Format.valueOf(form.toUpperCase(Locale.ROOT)), durable);
+        return new OperatorConfiguration(Log.Format.valueOf(format.toUpperCase(Locale.ROOT)), persistence);
     }
 
-    private static PersistenceConfiguration durable(TomlDocument.Table part) {
-        String folder = part.readString("folder", null);
+    private static PersistenceConfiguration readPersistenceConfiguration(TomlDocument.Table table) {
+        String folder = table.readString("folder", null);
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
-            part.addFault("folder", "is not there: expected a folder that outlives the relay, got " + folder);
+            table.addFault(
+                    "folder",
+                    "is not a directory: expected an existing one that outlasts the relay process, got " + folder);
         }
-        long interval = part.readDurationNanos("interval", "2s");
-        if (interval < LEAST_INTERVAL || interval > MOST_INTERVAL) {
-            part.addFault("interval", "is malformed: expected a time from 100ms to 1h");
+        long intervalNanos = table.readDurationNanos("interval", "2s");
+        if (intervalNanos < MIN_INTERVAL_NANOS || intervalNanos > MAX_INTERVAL_NANOS) {
+            table.addFault("interval", "is malformed: expected a time from 100ms to 1h");
         }
-        long mostAge = part.readDurationNanos("most-age", "24h");
-        if (mostAge <= interval) {
-            part.addFault("most-age", "is malformed: expected more than interval");
+        long maxAgeNanos = table.readDurationNanos("most-age", "24h");
+        if (maxAgeNanos <= intervalNanos) {
+            table.addFault("most-age", "is malformed: expected a time longer than interval");
         }
-        long sure = part.readDurationNanos("sure", "2s");
-        long megabytes = part.readLong("most-megabytes", 16L, 1, 1024);
-        part.reportUnknownKeys();
+        long maxFreshRosterAgeNanos = table.readDurationNanos("sure", "2s");
+        long maxMegabytes = table.readLong("most-megabytes", 16L, 1, 1024);
+        table.reportUnknownKeys();
         return new PersistenceConfiguration(
-                folder == null ? null : Path.of(folder), interval, mostAge, megabytes << 20, sure);
+                folder == null ? null : Path.of(folder),
+                intervalNanos,
+                maxAgeNanos,
+                maxMegabytes << 20,
+                maxFreshRosterAgeNanos);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -17,19 +17,25 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads one TOML file and keeps every fault found in it, each with file, key and line. What is asked for counts as
- * known; {@link Table#reportUnknownKeys} faults the rest, with the nearest known name. Values that are faulty give
- * their default, so that one reading finds all faults; a caller must look at {@link #faults} before it uses what was
- * read. Times in nanoseconds.
+ * Reads one TOML file and records every fault in it with file, line and key. A key that was requested counts as known;
+ * {@link Table#reportUnknownKeys} reports the others with the most similar known key. A faulty value is replaced by its
+ * default, so that one pass finds all faults. Callers must check {@link #faults} before they use any value.
  */
 public final class TomlDocument {
+    /** What {@link #parseDurationNanos} returns for a text that is not a duration. */
     private static final long INVALID_DURATION = Long.MIN_VALUE;
 
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
-    private final TomlTable top;
+    private final TomlTable root;
 
-    /** One thing that is wrong, told as `file:line: key says what was expected`. */
+    /**
+     * One fault of a file; its text is `file:line: key message`.
+     *
+     * @param line line number, from 1
+     * @param key the key's full path, or empty if the fault concerns no key
+     * @param message what is wrong and what was expected; the sentence continues after the key
+     */
     public record Fault(String file, int line, String key, String message) {
         @Override
         public String toString() {
@@ -37,10 +43,15 @@
         }
     }
 
-    /** One table of the file. */
+    /**
+     * One table of the file. In all methods that read a value, a null default makes the key required: if it is absent,
+     * a fault is recorded and the method returns null, or 0 for numbers. Bounds are inclusive.
+     */
     public final class Table {
         private final TomlTable table;
+        /** The table's full name; empty for the root table. */
         private final String path;
+
         private final Set<String> requestedKeys = new TreeSet<>();
 
         private Table(TomlTable table, String path) {
@@ -53,248 +64,270 @@
             return table.get(List.of(key)) != null;
         }
 
-        public String readString(String key, String otherwise) {
-            Object value = value(key, otherwise);
-            return value instanceof String text ? text : reportMalformed(key, value, otherwise, "a text in quotes");
+        /** Reads a string. */
+        public String readString(String key, String defaultValue) {
+            Object value = readValue(key, defaultValue);
+            return value instanceof String text
+                    ? text
+                    : reportMalformed(key, value, defaultValue, "a string in quotes");
         }
 
-        /** One of the words. */
-        public String readChoice(String key, String otherwise, Collection<String> words) {
-            String said = readString(key, otherwise);
-            if (said != null && !words.contains(said)) {
+        /** Reads a string that must be one of the choices. */
+        public String readChoice(String key, String defaultValue, Collection<String> choices) {
+            String word = readString(key, defaultValue);
+            if (word != null && !choices.contains(word)) {
                 addFault(
                         key,
-                        "is not known: expected one of " + String.join(", ", words) + nearest(said, words) + ", got "
-                                + said);
-                return otherwise;
+                        "is not known: expected one of " + String.join(", ", choices) + suggestNearest(word, choices)
+                                + ", got " + word);
+                return defaultValue;
             }
-            return said;
+            return word;
         }
 
-        public boolean readBoolean(String key, boolean otherwise) {
-            Object value = value(key, otherwise);
-            return value instanceof Boolean flag ? flag : reportMalformed(key, value, otherwise, "true or false");
+        public boolean readBoolean(String key, boolean defaultValue) {
+            Object value = readValue(key, defaultValue);
+            return value instanceof Boolean flag ? flag : reportMalformed(key, value, defaultValue, "true or false");
         }
 
-        public long readLong(String key, Long otherwise, long least, long most) {
-            Object value = value(key, otherwise);
+        public long readLong(String key, Long defaultValue, long min, long max) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            if (value instanceof Long number && number >= least && number <= most) {
+            if (value instanceof Long number && number >= min && number <= max) {
                 return number;
             }
             return reportMalformed(
-                    key, value, otherwise == null ? least : otherwise, "a whole number from " + least + " to " + most);
+                    key, value, defaultValue == null ? min : defaultValue, "a whole number from " + min + " to " + max);
         }
 
-        public double readDouble(String key, Double otherwise, double least, double most) {
-            Object value = value(key, otherwise);
+        public double readDouble(String key, Double defaultValue, double min, double max) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+            if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
                 return number.doubleValue();
             }
             return reportMalformed(
                     key,
                     value,
-                    otherwise == null ? least : otherwise,
-                    "a number from " + plain(least) + " to " + plain(most));
+                    defaultValue == null ? min : defaultValue,
+                    "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
 
-        /** A time as a text such as "250ms", "3s" or "2m"; in nanoseconds. */
-        public long readDurationNanos(String key, String otherwise) {
-            Object value = value(key, otherwise);
+        /** Reads a duration, a string such as "250ms", "3s" or "2m", and returns nanoseconds. */
+        public long readDurationNanos(String key, String defaultValue) {
+            Object value = readValue(key, defaultValue);
             if (value == null) {
                 return 0;
             }
-            long nanos = value instanceof String text ? nanos(text) : INVALID_DURATION;
+            long nanos = value instanceof String text ? parseDurationNanos(text) : INVALID_DURATION;
             if (nanos == INVALID_DURATION) {
-                reportMalformed(key, value, otherwise, "a time such as \"250ms\", \"3s\" or \"2m\"");
-                return otherwise == null ? 0 : nanos(otherwise);
+                reportMalformed(key, value, defaultValue, "a time such as \"250ms\", \"3s\" or \"2m\"");
+                return defaultValue == null ? 0 : parseDurationNanos(defaultValue);
             }
             return nanos;
         }
 
-        public List<String> readTexts(String key, List<String> otherwise) {
-            Object value = value(key, otherwise);
+        /** Reads an array of strings. */
+        public List<String> readStrings(String key, List<String> defaultValue) {
+            Object value = readValue(key, defaultValue);
             if (value instanceof TomlArray list && list.toList().stream().allMatch(String.class::isInstance)) {
                 return list.toList().stream().map(String.class::cast).toList();
             }
-            return value == otherwise ? otherwise : reportMalformed(key, value, otherwise, "a list of texts in quotes");
+            return value == defaultValue
+                    ? defaultValue
+                    : reportMalformed(key, value, defaultValue, "an array of strings in quotes");
         }
 
-        /** The table under that name; an empty one where it is not there. */
+        /** Returns the table with that name; an empty table if it is absent or not a table. */
         public Table readTable(String key) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
             if (value != null && !(value instanceof TomlTable)) {
                 addFault(key, "is malformed: expected a table, got " + value);
             }
-            return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), path(key));
+            return new Table(value instanceof TomlTable inner ? inner : Toml.parse(""), pathOf(key));
         }
 
-        /** The tables of the list under that name, written [[name]]. */
+        /** Returns the tables of the array of tables with that name, written [[name]]; none if it is absent. */
         public List<Table> readTables(String key) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
-            List<Table> parts = new ArrayList<>();
+            List<Table> tables = new ArrayList<>();
             if (value instanceof TomlArray list && list.toList().stream().allMatch(TomlTable.class::isInstance)) {
                 for (int i = 0; i < list.size(); i++) {
-                    parts.add(new Table(list.getTable(i), path(key) + "[" + (i + 1) + "]"));
+                    tables.add(new Table(list.getTable(i), pathOf(key) + "[" + (i + 1) + "]"));
                 }
             } else if (value != null) {
-                addFault(key, "is malformed: expected tables written [[" + path(key) + "]]");
+                addFault(key, "is malformed: expected an array of tables, written [[" + pathOf(key) + "]]");
             }
-            return parts;
+            return tables;
         }
 
-        /** Faults every key that nobody asked for. */
+        /** Records a fault for every key of this table that was not requested. */
         public void reportUnknownKeys() {
             for (String key : new TreeSet<>(table.keySet())) {
                 if (!requestedKeys.contains(key)) {
-                    addFault(key, "is not known" + nearest(key, requestedKeys));
+                    addFault(key, "is not known" + suggestNearest(key, requestedKeys));
                 }
             }
         }
 
-        public void addFault(String key, String what) {
-            TomlPosition at = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
-            faults.add(new Fault(file, at == null ? line() : at.line(), key.isEmpty() ? path : path(key), what));
+        /** Records a fault of a key; an empty key stands for the table itself. */
+        public void addFault(String key, String message) {
+            TomlPosition position = key.isEmpty() ? null : table.inputPositionOf(List.of(key));
+            faults.add(new Fault(
+                    file,
+                    position == null ? firstLine() : position.line(),
+                    key.isEmpty() ? path : pathOf(key),
+                    message));
         }
 
-        private int line() {
+        /** The smallest line number of the table's keys; 1 if it has none. */
+        private int firstLine() {
             return table.keySet().stream()
                     .sorted()
-                    .map(k -> table.inputPositionOf(List.of(k)))
-                    .filter(p -> p != null)
+                    .map(key -> table.inputPositionOf(List.of(key)))
+                    .filter(position -> position != null)
                     .mapToInt(TomlPosition::line)
                     .min()
                     .orElse(1);
         }
 
-        private String path(String key) {
+        private String pathOf(String key) {
             return path.isEmpty() ? key : path + "." + key;
         }
 
-        private Object value(String key, Object otherwise) {
+        /** Returns the value or the default; records a fault if both are null. */
+        private Object readValue(String key, Object defaultValue) {
             requestedKeys.add(key);
             Object value = table.get(List.of(key));
-            if (value == null && otherwise == null) {
+            if (value == null && defaultValue == null) {
                 addFault(key, "is missing");
             }
-            return value == null ? otherwise : value;
+            return value == null ? defaultValue : value;
         }
 
-        private <T> T reportMalformed(String key, Object value, T otherwise, String expected) {
+        /** Returns the default, and records a fault unless the value is null, which was reported as missing. */
+        private <T> T reportMalformed(String key, Object value, T defaultValue, String expected) {
             if (value != null) {
                 addFault(
                         key,
                         "is malformed: expected " + expected + ", got "
                                 + (value instanceof TomlTable
                                         ? "a table"
-                                        : value instanceof TomlArray ? "a list" : value));
+                                        : value instanceof TomlArray ? "an array" : value));
             }
-            return otherwise;
+            return defaultValue;
         }
     }
 
-    private TomlDocument(String file, TomlTable top) {
+    private TomlDocument(String file, TomlTable root) {
         this.file = file;
-        this.top = top;
+        this.root = root;
     }
 
-    /** Throws IOException, with a message fit to be shown, where the file cannot be read at all. */
+    /**
+     * Reads a file. Syntax errors become faults.
+     *
+     * @throws IOException if the file cannot be read or is not UTF-8; the message can be shown to the user
+     */
     public static TomlDocument read(Path path) throws IOException {
         try {
             return parse(path.toString(), Files.readString(path));
         } catch (MalformedInputException e) {
-            throw new IOException(path + " is not text in UTF-8", e);
+            throw new IOException(path + " is not a text file in UTF-8", e);
         } catch (IOException e) {
             throw new IOException(path + " cannot be read", e);
         }
     }
 
+    /** Parses a text; `file` is the name for faults. Syntax errors become faults. */
     public static TomlDocument parse(String file, String text) {
         TomlParseResult result = Toml.parse(text);
-        TomlDocument sheet = new TomlDocument(file, result);
+        TomlDocument document = new TomlDocument(file, result);
         result.errors()
-                .forEach(e -> sheet.faults.add(new Fault(
+                .forEach(error -> document.faults.add(new Fault(
                         file,
-                        e.position().line(),
+                        error.position().line(),
                         "",
-                        "is no TOML: "
-                                + String.valueOf(e.getMessage())
+                        "is not valid TOML: "
+                                + String.valueOf(error.getMessage())
                                         .lines()
                                         .findFirst()
                                         .orElse(""))));
-        return sheet;
+        return document;
     }
 
     public Table rootTable() {
-        return new Table(top, "");
+        return new Table(root, "");
     }
 
-    /** In the order of their lines. */
+    /** All faults recorded so far, in the order of their lines. */
     public List<Fault> faults() {
         List<Fault> sorted = new ArrayList<>(faults);
-        sorted.sort((x, y) -> Integer.compare(x.line(), y.line()));
+        sorted.sort((first, second) -> Integer.compare(first.line(), second.line()));
         return Collections.unmodifiableList(sorted);
     }
 
-    /** Nanoseconds, or NO_LEAST for what is no time. */
-    private static long nanos(String text) {
-        java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
+    /** Converts a duration to nanoseconds; returns INVALID_DURATION for any other text. */
+    private static long parseDurationNanos(String text) {
+        java.util.regex.Matcher matcher = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
                 .matcher(text);
-        if (!m.matches()) {
+        if (!matcher.matches()) {
             return INVALID_DURATION;
         }
         double unit =
-                switch (m.group(2)) {
+                switch (matcher.group(2)) {
                     case "us" -> 1e3;
                     case "ms" -> 1e6;
                     case "s" -> 1e9;
                     case "m" -> 60e9;
                     default -> 3600e9;
                 };
-        return Math.round(Double.parseDouble(m.group(1)) * unit);
+        return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
-    private static String plain(double value) {
+    /** The number without a fraction if it has none. */
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    private static String nearest(String said, Collection<String> known) {
-        String best = null;
-        int least = Math.max(2, said.length() / 2) + 1;
-        for (String word : known) {
-            int d = distance(said, word);
-            if (d < least) {
-                least = d;
-                best = word;
+    /** A clause that names the most similar candidate; empty if none is similar. */
+    private static String suggestNearest(String word, Collection<String> candidates) {
+        String nearest = null;
+        // Similar: at most half of the word's letters differ, or 2 letters of a short word.
+        int smallestDistance = Math.max(2, word.length() / 2) + 1;
+        for (String candidate : candidates) {
+            int distance = editDistance(word, candidate);
+            if (distance < smallestDistance) {
+                smallestDistance = distance;
+                nearest = candidate;
             }
         }
-        return best == null ? "" : "; the nearest known is " + best;
+        return nearest == null ? "" : "; the nearest known is " + nearest;
     }
 
-    /** Levenshtein's. */
-    private static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
+    /** The Levenshtein distance. */
+    private static int editDistance(String from, String to) {
+        int[] row = new int[to.length() + 1];
+        for (int j = 0; j <= to.length(); j++) {
             row[j] = j;
         }
-        for (int i = 1; i <= a.length(); i++) {
+        for (int i = 1; i <= from.length(); i++) {
             int diagonal = row[0];
             row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int change = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+            for (int j = 1; j <= to.length(); j++) {
+                int substitution = diagonal + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
                 diagonal = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
+                row[j] = Math.min(substitution, 1 + Math.min(row[j], row[j - 1]));
             }
         }
-        return row[b.length()];
+        return row[to.length()];
     }
 }
