--- a/lab/src/main/java/ambertrestle/lab/benchmark/DecisionBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/benchmark/DecisionBenchmark.java
@@ -35,8 +35,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a decision, a change of the roster and an opening through the reducer cost. Outside CI: {@code java -cp
- * 'lab/target/ambertrestle-lab.jar:lab/target/lib/*' org.openjdk.jmh.Main}.
+ * Measures the time of a placement decision, of a roster update and of a client connection in the reducer.
+ *
+ * <p>CI doesn't run it. To start it: {@code java -cp 'lab/target/ambertrestle-lab.jar:lab/target/lib/*'
+ * org.openjdk.jmh.Main DecisionBenchmark}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -45,16 +47,27 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 public class DecisionBenchmark {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
+    /** Odd multiplier (2^64 divided by the golden ratio) that spreads consecutive ids over all 64-bit keys. */
+    private static final long KEY_MULTIPLIER = 0x9e3779b97f4a7c15L;
+
+    private static final long CLIENT_TIMEOUT_MILLIS = 2_000;
+
+    /** Number of backends in the roster. */
     @Param({"13", "1000", "10000"})
     public int backends;
 
     private Balancer balancer;
     private Reducer reducer;
     private RelayConfiguration configuration;
-    private long now = 1_700_000_000_000L * MS;
+
+    /** Virtual time in nanoseconds since the epoch; every call of a benchmark advances it. */
+    private long now = 1_700_000_000_000L * NANOS_PER_MILLISECOND;
+
     private long lastId;
+
+    /** Whether the last roster update listed backend 1. */
     private boolean isFirstBackendListed = true;
 
     @Setup
@@ -73,32 +86,43 @@
                         1,
                         new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
         balancer = new Balancer(configuration.values().settings(), 1, now);
-        List<RosterEntry> listed = new ArrayList<>();
-        List<RosterMessage.Entry> lines = new ArrayList<>();
+        List<RosterEntry> rosterEntries = new ArrayList<>();
+        List<RosterMessage.Entry> rosterMessageEntries = new ArrayList<>();
         for (int i = 1; i <= backends; i++) {
-            listed.add(new RosterEntry(i, Stage.READY, 0, 0, 1, 0, 0));
-            lines.add(new RosterMessage.Entry("s-" + i, "s-" + i + ":1", Stage.READY, "a", "s", 0, 1, 0));
+            rosterEntries.add(new RosterEntry(i, Stage.READY, 0, 0, 1, 0, 0));
+            rosterMessageEntries.add(
+                    new RosterMessage.Entry("s-" + i, "s-" + i + ":1", Stage.READY, "a", "s", 0, 1, 0));
         }
-        balancer.onRosterUpdate(listed, true, false, now);
-        reducer = new Reducer(configuration.values(), new RosterMessage(1, true, lines), now);
+        balancer.onRosterUpdate(rosterEntries, true, false, now);
+        reducer = new Reducer(configuration.values(), new RosterMessage(1, true, rosterMessageEntries), now);
         reducer.apply(new Event.TimerFired(), now);
     }
 
-    /** One key placed and given back. */
+    /** Selects a backend for a new association, then closes the association. */
     @Benchmark
     public Object selectBackend() {
         now += 10_000;
-        Association a =
-                new Association(++lastId, 0, 0, lastId * 0x9e3779b97f4a7c15L | 1, 0, now + 2_000 * MS, 0, false, false);
-        Object answer = balancer.selectBackend(a, now);
-        balancer.onClientDisconnected(a, now);
-        return answer;
+        Association association = new Association(
+                ++lastId,
+                0,
+                0,
+                lastId * KEY_MULTIPLIER | 1,
+                0,
+                now + CLIENT_TIMEOUT_MILLIS * NANOS_PER_MILLISECOND,
+                0,
+                false,
+                false);
+        Object decision = balancer.selectBackend(association, now);
+        balancer.onClientDisconnected(association, now);
+        return decision;
     }
 
-    /** One backend goes, or comes back: what holds up every decision behind it. */
+    /**
+     * Removes one backend from the roster or adds it again. Decisions wait on the event loop for as long as this takes.
+     */
     @Benchmark
     public void updateRoster() {
-        now += MS;
+        now += NANOS_PER_MILLISECOND;
         isFirstBackendListed = !isFirstBackendListed;
         balancer.onRosterUpdate(
                 List.of(new RosterEntry(1, isFirstBackendListed ? Stage.READY : Stage.GONE, 0, 0, 1, 0, 0)),
@@ -107,31 +131,33 @@
                 now);
     }
 
-    /** A client's whole life in the reducer: accepted, opened, up, one line and its answer, gone. */
+    /**
+     * A client connection from accept to close: OPEN, backend connected, UP, one line and its answer, both ends closed.
+     */
     @Benchmark
     public Object reduceClientLifecycle() {
         now += 100_000;
-        long client = ++lastId;
-        applyNetworkEvent(new NetworkEvent.ClientAccepted(client));
-        byte[] raw = ("OPEN " + Long.toHexString(client) + " " + Long.toHexString(client * 0x9e3779b97f4a7c15L | 1)
+        long clientId = ++lastId;
+        applyNetworkEvent(new NetworkEvent.ClientAccepted(clientId));
+        byte[] openLine = ("OPEN " + Long.toHexString(clientId) + " " + Long.toHexString(clientId * KEY_MULTIPLIER | 1)
                         + " c=open,t=t,d=2000\r\n")
                 .getBytes(StandardCharsets.UTF_8);
-        long dialled = -client;
-        applyNetworkEvent(
-                new NetworkEvent.ClientMessageReceived(client, ClientMessage.decode(raw, configuration.names())));
-        applyNetworkEvent(new NetworkEvent.BackendConnected(dialled));
-        applyNetworkEvent(new NetworkEvent.FirstLineWritten(dialled));
+        long backendConnectionId = -clientId;
+        applyNetworkEvent(new NetworkEvent.ClientMessageReceived(
+                clientId, ClientMessage.decode(openLine, configuration.names())));
+        applyNetworkEvent(new NetworkEvent.BackendConnected(backendConnectionId));
+        applyNetworkEvent(new NetworkEvent.FirstLineWritten(backendConnectionId));
         applyNetworkEvent(new NetworkEvent.BackendMessageReceived(
-                dialled, BackendMessage.decode("UP 1\r\n".getBytes(StandardCharsets.UTF_8))));
+                backendConnectionId, BackendMessage.decode("UP 1\r\n".getBytes(StandardCharsets.UTF_8))));
         applyNetworkEvent(new NetworkEvent.ClientMessageReceived(
-                client, new ClientMessage.Payload("L\r\n".getBytes(StandardCharsets.UTF_8))));
+                clientId, new ClientMessage.Payload("L\r\n".getBytes(StandardCharsets.UTF_8))));
         applyNetworkEvent(new NetworkEvent.BackendMessageReceived(
-                dialled, BackendMessage.decode("R\r\n".getBytes(StandardCharsets.UTF_8))));
-        applyNetworkEvent(new NetworkEvent.SocketClosed(client, false));
-        return applyNetworkEvent(new NetworkEvent.SocketClosed(dialled, false));
+                backendConnectionId, BackendMessage.decode("R\r\n".getBytes(StandardCharsets.UTF_8))));
+        applyNetworkEvent(new NetworkEvent.SocketClosed(clientId, false));
+        return applyNetworkEvent(new NetworkEvent.SocketClosed(backendConnectionId, false));
     }
 
-    private List<Effect> applyNetworkEvent(NetworkEvent heard) {
-        return reducer.apply(new Event.NetworkEventReceived(heard), now);
+    private List<Effect> applyNetworkEvent(NetworkEvent networkEvent) {
+        return reducer.apply(new Event.NetworkEventReceived(networkEvent), now);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
@@ -33,9 +33,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What keeping costs at 10,000 backends and 65,536 pins that have all changed: each part that the event loop gives, the
- * worst of them included, and what is done beside it. Outside CI: as {@link DecisionBenchmark}, with KeptBench at the
- * end.
+ * Measures state persistence with 10,000 backends and 65,536 pins that have all changed: the collection of one batch of
+ * changes, which blocks the event loop, and the work outside of the event loop.
+ *
+ * <p>CI doesn't run it. To start it: as {@link DecisionBenchmark}, with {@code LearnedStateBenchmark} as the argument.
  */
 @State(Scope.Thread)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -43,18 +44,27 @@
 @Warmup(iterations = 40)
 @Measurement(iterations = 200)
 public class LearnedStateBenchmark {
-    private static final int BACKENDS = 10_000, PINS = 65_536, BATCH_SIZE = 1_024;
+    private static final int BACKEND_COUNT = 10_000;
+    private static final int PIN_COUNT = 65_536;
+
+    /** Maximum number of changed backends and pins that one call collects. */
+    private static final int BATCH_SIZE = 1_024;
+
+    /** Odd multiplier (2^64 divided by the golden ratio) that spreads consecutive numbers over all 64-bit keys. */
+    private static final long KEY_MULTIPLIER = 0x9e3779b97f4a7c15L;
+
+    /** Nanoseconds since the epoch. */
     private static final long NOW = 1_700_000_000_000_000_000L;
 
     private Balancer balancer;
     private LearnedState learnedState;
-    private SnapshotBuilder mirror;
+    private SnapshotBuilder snapshotBuilder;
 
     @Setup(Level.Iteration)
     public void setUp() throws Exception {
         Scenario scenario = Scenario.read(TomlDocument.parse(
                 "bench.toml", "name = \"bench\"\n[[fleet]]\nname = \"s\"\ncount = 1\n[[use-case]]\nname = \"open\"\n"));
-        RelayConfiguration sheet = RelayConfiguration.read(
+        RelayConfiguration configuration = RelayConfiguration.read(
                 Map.of(),
                 RelayConfigurationJson.create(
                         scenario,
@@ -63,55 +73,60 @@
                         "127.0.0.1:2",
                         1,
                         new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
-        balancer = new Balancer(sheet.values().settings(), 1, NOW);
-        List<RosterEntry> listed = new ArrayList<>();
-        List<BackendStatistics> judged = new ArrayList<>();
-        List<RosterMessage.Entry> lines = new ArrayList<>();
-        for (int i = 0; i < BACKENDS; i++) {
+        balancer = new Balancer(configuration.values().settings(), 1, NOW);
+        List<RosterEntry> rosterEntries = new ArrayList<>();
+        List<BackendStatistics> backendStatistics = new ArrayList<>();
+        List<RosterMessage.Entry> rosterMessageEntries = new ArrayList<>();
+        for (int i = 0; i < BACKEND_COUNT; i++) {
             String name = "s-" + i;
             long id = RosterMessage.backendId(name);
-            listed.add(new RosterEntry(id, Stage.READY, 0, 0, 1, 0, 0));
-            lines.add(new RosterMessage.Entry(name, "10.0.0.1:80", Stage.READY, "a", "s", 0, 1, 0));
-            judged.add(new BackendStatistics(id, 0, NOW, 1, 1, 0, 0, 0, 0));
+            rosterEntries.add(new RosterEntry(id, Stage.READY, 0, 0, 1, 0, 0));
+            rosterMessageEntries.add(new RosterMessage.Entry(name, "10.0.0.1:80", Stage.READY, "a", "s", 0, 1, 0));
+            backendStatistics.add(new BackendStatistics(id, 0, NOW, 1, 1, 0, 0, 0, 0));
         }
-        balancer.onRosterUpdate(listed, true, false, NOW);
+        balancer.onRosterUpdate(rosterEntries, true, false, NOW);
         List<Pin> pins = new ArrayList<>();
-        for (int p = 0; p < PINS; p++) {
+        for (int pinIndex = 0; pinIndex < PIN_COUNT; pinIndex++) {
             pins.add(new Pin(
-                    p * 0x9e3779b97f4a7c15L | 1, judged.get(p % BACKENDS).backend(), NOW));
+                    pinIndex * KEY_MULTIPLIER | 1,
+                    backendStatistics.get(pinIndex % BACKEND_COUNT).backend(),
+                    NOW));
         }
         learnedState = new LearnedState(
                 balancer.takeLearnedStateChanges(1, NOW).tableFormat(),
                 LearnedState.RelayStatistics.EMPTY,
-                judged,
+                backendStatistics,
                 pins,
                 false);
-        // A new one: its first call lists all, which a relay pays once, at its start and empty.
-        balancer = new Balancer(sheet.values().settings(), 1, NOW);
-        balancer.onRosterUpdate(listed, true, false, NOW);
+        // A new balancer marks everything as changed on its first call of takeLearnedStateChanges. A relay makes that
+        // call once, at its start, while its state is empty. It is made here so that the benchmark doesn't measure it.
+        balancer = new Balancer(configuration.values().settings(), 1, NOW);
+        balancer.onRosterUpdate(rosterEntries, true, false, NOW);
         balancer.restoreLearnedState(learnedState, false, NOW);
         balancer.takeLearnedStateChanges(1, NOW);
-        mirror = new SnapshotBuilder("r");
-        mirror.apply(new RosterMessage(1, true, lines));
-        mirror.apply(learnedState);
+        snapshotBuilder = new SnapshotBuilder("r");
+        snapshotBuilder.apply(new RosterMessage(1, true, rosterMessageEntries));
+        snapshotBuilder.apply(learnedState);
     }
 
-    /** What the loop is held up for at once; single shots, so the worst are seen. */
+    /**
+     * Collects one batch, which blocks the event loop. Single shots, so that the percentiles show the slowest calls.
+     */
     @Benchmark
     @BenchmarkMode(Mode.SingleShotTime)
     public Object collectChangeBatch() {
         return balancer.takeLearnedStateChanges(BATCH_SIZE, NOW);
     }
 
-    /** Beside the loop: what one write has to put together. */
+    /** Builds and encodes the snapshot for one write, outside of the event loop. */
     @Benchmark
     @BenchmarkMode(Mode.SingleShotTime)
     public Object encodeSnapshot() {
-        new StateChanges().applyTo(mirror);
-        return StateFileCodec.encode(mirror.build(NOW));
+        new StateChanges().applyTo(snapshotBuilder);
+        return StateFileCodec.encode(snapshotBuilder.build(NOW));
     }
 
-    /** At a start: taking back what was kept. */
+    /** Restores the learned state as at a relay's start, with a roster that counts as unseen because of its age. */
     @Benchmark
     @BenchmarkMode(Mode.SingleShotTime)
     public void restoreLearnedState() {
