--- a/lab/src/main/java/ambertrestle/lab/Lab.java
+++ b/lab/src/main/java/ambertrestle/lab/Lab.java
@@ -339,7 +339,7 @@
                                 testbed.eventLog(),
                                 testbed.connectionTotals(),
                                 testbed.badClientCount(),
-                                testbed.unansweredBadClients())
+                                testbed.unansweredBadClientCount())
                         .addResourceUsage(testbed.resourceUsage(), testbed.isCpuStarved()));
             }
             return results;
@@ -371,7 +371,7 @@
                     testbed.eventLog(),
                     testbed.connectionTotals(),
                     testbed.badClientCount(),
-                    testbed.unansweredBadClients());
+                    testbed.unansweredBadClientCount());
         }
 
         /** Overwrites the progress line on standard error. */
@@ -661,7 +661,7 @@
 
         /** Returns the value of a series in the given second after the warm-up, counted from 0. */
         private static double valueAt(LoopbackTestbed testbed, MetricsRecorder.Series series, int seriesIndex) {
-            return testbed.metrics.series(series)[seriesIndex];
+            return testbed.metrics.valuesPerSecond(series)[seriesIndex];
         }
     }
 
--- a/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
@@ -73,7 +73,7 @@
                         "127.0.0.1:2",
                         1,
                         new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
-        balancer = new Balancer(configuration.values().settings(), 1, NOW);
+        balancer = new Balancer(configuration.reducerConfiguration().settings(), 1, NOW);
         List<RosterEntry> rosterEntries = new ArrayList<>();
         List<BackendStatistics> backendStatistics = new ArrayList<>();
         List<RosterMessage.Entry> rosterMessageEntries = new ArrayList<>();
@@ -100,7 +100,7 @@
                 false);
         // A new balancer marks everything as changed on its first call of takeLearnedStateChanges. A relay makes that
         // call once, at its start, while its state is empty. It is made here so that the benchmark doesn't measure it.
-        balancer = new Balancer(configuration.values().settings(), 1, NOW);
+        balancer = new Balancer(configuration.reducerConfiguration().settings(), 1, NOW);
         balancer.onRosterUpdate(rosterEntries, true, false, NOW);
         balancer.restoreLearnedState(learnedState, false, NOW);
         balancer.takeLearnedStateChanges(1, NOW);
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -218,7 +218,7 @@
     }
 
     @Override
-    protected void end(ClientEndpoint client) {
+    protected void disconnect(ClientEndpoint client) {
         NetSocket socket = clients.remove(client);
         if (socket != null) {
             socket.close();
--- a/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
+++ b/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
@@ -145,7 +145,7 @@
                 .setChartBackgroundColor(Color.WHITE)
                 .setAnnotationLineColor(new Color(190, 40, 40));
         for (Series s : plot.series) {
-            double[] values = r.meter().series(s);
+            double[] values = r.meter().valuesPerSecond(s);
             double[] seconds = new double[values.length];
             for (int i = 0; i < seconds.length; i++) {
                 seconds[i] = i + 0.5;
--- a/lab/src/main/java/ambertrestle/lab/report/RunResult.java
+++ b/lab/src/main/java/ambertrestle/lab/report/RunResult.java
@@ -64,7 +64,7 @@
                 .put("reconnects", Math.round(meter.sum(Series.RECONNECTS)))
                 .put(
                         "most reconnects in a second",
-                        Math.round(Arrays.stream(meter.series(Series.RECONNECTS))
+                        Math.round(Arrays.stream(meter.valuesPerSecond(Series.RECONNECTS))
                                 .max()
                                 .orElse(0)))
                 .put("dispatches", Math.round(meter.sum(Series.DISPATCHES)))
--- a/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
@@ -220,8 +220,8 @@
 
     public static Scenario read(TomlDocument sheet) throws InvalidScenarioException {
         TomlDocument.Table top = sheet.rootTable();
-        String name = top.readText("name", null);
-        String says = top.readText("says", "");
+        String name = top.readString("name", null);
+        String says = top.readString("says", "");
         long warmUp = top.readDurationNanos("warm-up", "10s");
         long length = top.readDurationNanos("length", "60s");
         long countFrom = top.readDurationNanos("count-from", "0s");
@@ -292,11 +292,11 @@
         Set<String> names = new HashSet<>();
         for (TomlDocument.Table f : top.readTables("fleet")) {
             Fleet fleet = new Fleet(
-                    f.readText("name", "s"),
+                    f.readString("name", "s"),
                     (int) f.readLong("count", null, 1, 100_000),
                     f.readDouble("weight", 1.0, 0.01, 100),
                     f.readDouble("speed", 1.0, 0.001, 1000),
-                    f.readText("zone", "a"),
+                    f.readString("zone", "a"),
                     (int) f.readLong("slots", 1_000_000L, 1, 1 << 24),
                     f.readBoolean("cold", false));
             if (!names.add(fleet.name)) {
@@ -319,7 +319,7 @@
             long goal = w.readDurationNanos("goal", "400ms");
             long cutOff = w.readDurationNanos("cut-off", "2s");
             Workload work = new Workload(
-                    w.readText("name", null),
+                    w.readString("name", null),
                     Effect.valueOf(effect.toUpperCase(java.util.Locale.ROOT)),
                     w.readChoice("scope", "zone", List.of("all", "zone", "cell")),
                     w.readDurationNanos("window", "500ms"),
--- a/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
@@ -54,13 +54,13 @@
                 String name = world.scenario.name();
                 if (!world.invariantChecker.hasNoViolations()
                         || share < MIN_BENEFIT_SHARES.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
-                        || world.unansweredBadClients() > 0
+                        || world.unansweredBadClientCount() > 0
                         || world.connectionTotals().get("answers unaccounted for") != 0
                         || world.connectionTotals().get("ends unaccounted for") != 0) {
                     faults.put(
                             name,
                             share + " " + world.invariantChecker.violationMessages() + " "
-                                    + world.unansweredBadClients() + " " + world.connectionTotals());
+                                    + world.unansweredBadClientCount() + " " + world.connectionTotals());
                 }
             } catch (Exception e) {
                 faults.put(file.toString(), e.toString());
