--- a/relay/src/main/java/ambertrestle/relay/connection/BackendDirectory.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/BackendDirectory.java
@@ -18,11 +18,14 @@
     private static final int NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * Latest entry by backend id, GONE entries excepted: connections may still need the address of a removed backend.
+     * Latest entry by backend id. A GONE entry doesn't replace the previous one, because connections may still need the
+     * address of a backend that is gone.
      */
     private final Map<Long, RosterMessage.Entry> lastEntries = new HashMap<>();
 
+    /** Zone names; a name's position is its index for the balancing policy. */
     private final List<String> zones;
+    /** Machine type names; a name's position is its index for the balancing policy. */
     private final List<String> machineTypes;
     /** Version of the latest roster message; -1 requests the complete roster with the next watch. */
     long rosterVersion = -1;
--- a/relay/src/main/java/ambertrestle/relay/connection/BackendLatencyTracker.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/BackendLatencyTracker.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Measures how long each backend takes to answer a line and reports slow backends to the balancing policy. Times are in
- * nanoseconds.
+ * Measures how long each backend takes to answer a line and reports slow backends to the balancing policy. Times and
+ * latencies are in nanoseconds.
  */
 final class BackendLatencyTracker {
     /** Time between two calls of {@link #report}. */
@@ -14,6 +14,7 @@
 
     /** Measurements of one backend since the last report. */
     private static final class LatencyWindow {
+        /** Sum of the latencies of answered lines and of the waits of unanswered ones. */
         double totalLatency;
         /** Number of latencies in {@link #totalLatency}. */
         int count;
@@ -25,11 +26,12 @@
         boolean wasReported;
     }
 
+    /** By backend id. */
     private final Map<Long, LatencyWindow> windowsByBackend = new TreeMap<>();
     /** Mean latency above which a backend is reported. */
     private final long reportThreshold;
 
-    /** @param reportThreshold a third of the shortest goal time of a message, in nanoseconds */
+    /** @param reportThreshold mean latency above which a backend is reported */
     BackendLatencyTracker(long reportThreshold) {
         this.reportThreshold = reportThreshold;
     }
--- a/relay/src/main/java/ambertrestle/relay/connection/Connection.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Connection.java
@@ -6,13 +6,17 @@
 
 /**
  * State of one client connection and of the backend connection that serves it. All times are in nanoseconds on the
- * clock of the events that {@link Reducer#apply} receives. Only {@link Reducer} and {@link ConnectionTimers} change it.
+ * clock whose time callers pass to {@link Reducer#apply}. Only {@link Reducer} and {@link ConnectionTimers} change it.
  */
 final class Connection {
+    /** The stages of a connection's life, in order; see {@link Reducer} for the transitions. */
     enum State {
         /** The client is connected and has not sent a valid OPEN line yet. It may have sent PING. */
         AWAITING_OPEN,
-        /** The client waits for an answer: no backend is chosen yet, or a dispatch is in flight. */
+        /**
+         * The client sent a valid OPEN line and waits for an answer: the balancing policy lets it wait for a backend, a
+         * dispatch is in flight, or a resumption is attempted.
+         */
         DISPATCHING,
         /** A backend accepted the connection; lines are forwarded in both directions. */
         OPEN,
@@ -52,7 +56,7 @@
     boolean isResumption;
     /** The backend sent BYE: it served the connection to its end. */
     boolean hasReceivedBye;
-    /** The backend sent MOVE: it told the client to reconnect elsewhere. */
+    /** The backend sent MOVE: it asked the client to reconnect. */
     boolean hasReceivedMove;
     /** Lines that the client sent before the connection was open, in order. */
     final ArrayDeque<byte[]> bufferedLines = new ArrayDeque<>();
--- a/relay/src/main/java/ambertrestle/relay/connection/Effect.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Effect.java
@@ -26,7 +26,7 @@
      */
     record WriteLog(String event, String text, Map<String, String> fields) implements Effect {}
 
-    /** Persists the changes to the learned state since the previous part. */
+    /** Persists a part of the learned state: changes that no earlier part contained. */
     record PersistLearnedState(LearnedState part) implements Effect {}
 
     /** Persists a roster message that the relay received and accepted. */
--- a/relay/src/main/java/ambertrestle/relay/connection/PlacementPreview.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/PlacementPreview.java
@@ -14,7 +14,7 @@
  * were the relay's first.
  */
 public final class PlacementPreview {
-    /** Cut-off of the associations used as probes; any time in the future will do. */
+    /** Time until the cut-off of the associations used as probes; any positive time will do. */
     private static final long ASSOCIATION_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final ReducerConfiguration configuration;
@@ -40,7 +40,7 @@
     /** Returns the name of the selected backend, or null if no listed backend can take the key. */
     public String selectBackend(long key) {
         // Each placement uses up part of a cold backend's load limit. With a shared balancer an earlier key could
-        // push a later one to another backend, so a cold backend calls for a new balancer per key.
+        // push a later one to another backend, so each key gets a new balancer if a backend is cold.
         if (balancer == null || hasColdBackend) {
             balancer = new Balancer(configuration.settings(), configuration.seed(), nowNanos);
             balancer.onRosterUpdate(rosterEntries, true, false, nowNanos);
--- a/relay/src/main/java/ambertrestle/relay/connection/ReconnectionTracker.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/ReconnectionTracker.java
@@ -8,6 +8,9 @@
     /** How long a relay is down at a planned restart. */
     private static final long WINDOW_NANOS = 6_000_000_000L;
 
+    /** Clients from other relays are many if they number more than the associations divided by this number. */
+    private static final int MANY_ARRIVALS_DIVISOR = 3;
+
     /** When a client's connection at this relay was moved or ended by its backend, by client key, oldest first. */
     private final LinkedHashMap<Long, Long> endedHereAt = new LinkedHashMap<>();
 
@@ -29,13 +32,13 @@
     }
 
     /**
-     * Returns true if the clients that arrived from other relays within the last six seconds number more than a third
-     * of this relay's associations.
+     * Returns true if the clients that arrived from other relays within the window number more than a third of this
+     * relay's associations.
      */
     boolean hasManyFromOtherRelays(int associationCount, long now) {
         while (!arrivedFromOtherRelaysAt.isEmpty() && now - arrivedFromOtherRelaysAt.peek() > WINDOW_NANOS) {
             arrivedFromOtherRelaysAt.poll();
         }
-        return arrivedFromOtherRelaysAt.size() * 3 > associationCount;
+        return arrivedFromOtherRelaysAt.size() * MANY_ARRIVALS_DIVISOR > associationCount;
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/connection/Reducer.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/Reducer.java
@@ -63,9 +63,9 @@
     private static final long OPEN_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
     /** How long a client may stay connected after PONG without sending OPEN. */
     private static final long PING_LINGER_NANOS = NANOS_PER_SECOND / 2;
-    /** How long a half-open connection may last after one side ended its output. */
+    /** How long a half-closed connection may last after one side ended its output. */
     private static final long HALF_CLOSED_TIMEOUT_NANOS = 10 * NANOS_PER_SECOND;
-    /** How long a peer may take to receive the last output before its socket is reset. */
+    /** How long a peer may take to receive the last output and close, before its socket is reset. */
     private static final long CLOSE_TIMEOUT_NANOS = 3 * NANOS_PER_SECOND;
     /** Time between a failed attempt to resume a connection at its backend and the next. */
     private static final long RESUMPTION_RETRY_NANOS = NANOS_PER_SECOND / 4;
@@ -75,7 +75,7 @@
     private static final long SHUTDOWN_GRACE_NANOS = NANOS_PER_SECOND / 2;
     /**
      * Latest start of the hand-over, counted from the shutdown request: the shortest time after which the platform
-     * kills a relay that was told to stop, less the time that the hand-over takes.
+     * kills a relay after asking it to stop, less the time that the hand-over takes.
      */
     private static final long MAX_HAND_OVER_DELAY_NANOS = 3_200 * NANOS_PER_MILLI;
     /** Time between two batches of the hand-over. */
@@ -90,6 +90,12 @@
     private static final int MAX_TRACKED_LINES = 64;
     /** Delay of the periodic checks above which this relay counts as stalled. */
     private static final long STALL_THRESHOLD_NANOS = NANOS_PER_SECOND / 5;
+    /** How long the periodic checks are postponed after a stall. */
+    private static final long STALL_RECOVERY_NANOS = STALL_THRESHOLD_NANOS / 2;
+    /** Extension of an expired dispatch timeout, in which the event loop can read an answer that has arrived. */
+    private static final long TIMEOUT_EXTENSION_NANOS = NANOS_PER_MILLI;
+    /** A backend is reported as slow above the shortest goal time of a message divided by this number. */
+    private static final int LATENCY_REPORT_DIVISOR = 3;
     /** A connection whose oldest unanswered line is older than this is taken for dead and moved. */
     private static final long UNANSWERED_LINE_TIMEOUT_NANOS = 5 * NANOS_PER_SECOND;
     /** Clients that haven't sent OPEN may hold at most the limit on sockets divided by this number. */
@@ -185,7 +191,7 @@
         maxSockets = configuration.maxSockets();
         backendDirectory = new BackendDirectory(configuration.zones(), configuration.machineTypes());
         balancer = policyFactory.create(configuration.settings(), configuration.seed(), now);
-        latencies = new BackendLatencyTracker(configuration.messageGoalTime() / 3);
+        latencies = new BackendLatencyTracker(configuration.messageGoalTime() / LATENCY_REPORT_DIVISOR);
         nextPeriodicRunAt = now + BackendLatencyTracker.REPORT_INTERVAL_NANOS;
         balancer.onRosterUpdate(backendDirectory.update(initialState.roster()), true, true, now);
         if (isPersistenceEnabled) {
@@ -238,12 +244,12 @@
                 onClientMessage(connection, event.message(), now);
             }
         } else if (networkEvent instanceof NetworkEvent.BackendMessageReceived event) {
-            Connection connection = findByCurrentDispatch(event.socket());
+            Connection connection = findByBackendSocket(event.socket());
             if (connection != null) {
                 onBackendMessage(connection, event.message(), now);
             }
         } else if (networkEvent instanceof NetworkEvent.BackendConnected event) {
-            Connection connection = findByCurrentDispatch(event.socket());
+            Connection connection = findByBackendSocket(event.socket());
             if (connection != null) {
                 connection.isFirstLineQueued = true;
                 // The backend's time starts only now. On a fraction of a core and under a burst, this relay's own delay
@@ -251,7 +257,7 @@
                 scheduleDispatchTimeout(connection, connection.responseTimeout, now);
             }
         } else if (networkEvent instanceof NetworkEvent.FirstLineWritten event) {
-            Connection connection = findByCurrentDispatch(event.socket());
+            Connection connection = findByBackendSocket(event.socket());
             if (connection != null) {
                 connection.isFirstLineWritten = true;
             }
@@ -264,8 +270,8 @@
         }
     }
 
-    /** Returns the connection whose current backend socket this is; null if it was abandoned or closed. */
-    private Connection findByCurrentDispatch(long socket) {
+    /** Returns the connection whose current backend socket this is; null if the socket was given up or closed. */
+    private Connection findByBackendSocket(long socket) {
         Connection connection = bySocket.get(socket);
         return connection != null && connection.backendSocket == socket ? connection : null;
     }
@@ -496,7 +502,10 @@
         closeSockets(connection, now);
     }
 
-    /** Removes the connection from the indexes of waiting and registered connections; its sockets stay in use. */
+    /**
+     * Removes the connection from {@link #awaitingOpen}, {@link #byAssociation} and {@link #byAssociationId}; its
+     * sockets stay in {@link #bySocket}.
+     */
     private void deregister(Connection connection) {
         awaitingOpen.remove(connection.clientSocket);
         if (connection.association != null) {
@@ -607,7 +616,10 @@
         return connection.isFirstLineWritten ? DispatchOutcome.RESET : DispatchOutcome.NOT_CONNECTED;
     }
 
-    /** Ends an open connection whose backend closed it: reports the outcome, which a BYE or MOVE before determines. */
+    /**
+     * Ends an open connection whose backend closed it and reports the outcome to the policy: DONE after BYE, CANCELLED
+     * after MOVE, otherwise RESET.
+     */
     private void onBackendEnded(Connection connection, long now) {
         deregister(connection);
         reconnections.onConnectionEnded(connection.openRequest.clientKey(), now);
@@ -618,12 +630,12 @@
                 connection.association, connection.association.dispatchCount - 1, outcome, true, now);
     }
 
-    // ---- Closed and half-open sockets
+    // ---- Closed and half-closed sockets
 
     /**
      * Handles a peer that ended its output. In state OPEN the other side's output is ended too, and the connection may
-     * stay half-open until a timeout. In any other state the client is treated as gone; in state DISPATCHING a
-     * backend's end fails the dispatch. An abandoned socket is closed.
+     * stay half-closed until a timeout. In any other state, a client that ended its output is treated as gone. In state
+     * DISPATCHING, a backend that ended its output fails the dispatch. The socket of an earlier dispatch is closed.
      */
     private void onInputShutdown(long socket, long now) {
         Connection connection = bySocket.get(socket);
@@ -732,7 +744,7 @@
         if (startupProgress != null) {
             effects.add(new Effect.PersistRoster(message));
             // The first message after a start may list changes only. It is merged with the initial roster, because the
-            // ages of the unchanged backends would otherwise count as unknown for good.
+            // ages of the unchanged backends would otherwise stay unknown.
             roster = startupProgress.phase() == StartupProgress.Phase.AWAITING_ROSTER
                     ? initialState.roster().withUpdate(message)
                     : message;
@@ -812,7 +824,7 @@
         if (now - nextPeriodicRunAt > STALL_THRESHOLD_NANOS) {
             // After a stall of this relay all lines seem to be unanswered. The checks are postponed, so that
             // input that arrived meanwhile is read before latencies are reported.
-            nextPeriodicRunAt = now + STALL_THRESHOLD_NANOS / 2;
+            nextPeriodicRunAt = now + STALL_RECOVERY_NANOS;
             return;
         }
         latencies.report(clientConnections(), balancer, now);
@@ -822,7 +834,7 @@
 
     /**
      * Handles the expired timer of a connection. AWAITING_OPEN: the client is rejected, or closed silently after a
-     * PING. DISPATCHING: a resumption is retried, a dispatch times out, or a wait is over. OPEN: the half-open
+     * PING. DISPATCHING: a resumption is retried, a dispatch times out, or a wait is over. OPEN: the half-closed
      * connection is closed. CLOSING: the sockets that are left are reset.
      */
     private void onTimerExpired(Connection connection, long now) {
@@ -851,10 +863,10 @@
                 } else if (connection.backendSocket != 0
                         && !connection.hasTimedOutOnce
                         && now < connection.association.cutOffAt) {
-                    // If this relay was delayed, the answer may have arrived without having been read. One more
-                    // millisecond lets the event loop read the sockets first.
+                    // If this relay was delayed, the answer may have arrived without having been read. The
+                    // extension lets the event loop read the sockets first.
                     connection.hasTimedOutOnce = true;
-                    timers.schedule(connection, now + NANOS_PER_MILLI);
+                    timers.schedule(connection, now + TIMEOUT_EXTENSION_NANOS);
                 } else if (connection.backendSocket != 0) {
                     // A queued line may have reached the backend before its last byte is reported as written, so the
                     // dispatch may have run.
@@ -871,7 +883,7 @@
 
     /**
      * Moves open connections whose oldest unanswered line has timed out. Such a connection may be dead while its
-     * backend answers others. This isn't latency of the backend, so the client has to reconnect.
+     * backend answers others, which the backend's mean latency doesn't show, so the client has to reconnect.
      */
     private void moveUnansweredConnections(long now) {
         for (Connection connection : clientConnections()) {
@@ -900,8 +912,8 @@
     }
 
     /**
-     * Moves a quarter of the open connections, but at least four, when no new connections arrive any more after a
-     * shutdown request. Emits {@link Effect.Stop} once no association is left.
+     * Moves the next batch of open connections after a shutdown request, when no new connections arrive any more. Emits
+     * {@link Effect.Stop} once no association is left.
      */
     private void handOverConnections(long now) {
         // While another relay is down too, moved clients might find no relay that accepts them. This relay still serves
--- a/relay/src/main/java/ambertrestle/relay/connection/ReducerConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/ReducerConfiguration.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * The reducer's configuration, already read and validated by the relay configuration. Durations are in nanoseconds.
+ * The reducer's configuration: values that were already read from the relay configuration and validated. Durations are
+ * in nanoseconds.
  *
  * @param settings the settings map for the balancing policy
  * @param seed seed of the balancing policy's random numbers
--- a/relay/src/main/java/ambertrestle/relay/connection/RejectionCounter.java
+++ b/relay/src/main/java/ambertrestle/relay/connection/RejectionCounter.java
@@ -7,11 +7,12 @@
 final class RejectionCounter {
     private static final long LOG_INTERVAL_NANOS = 5_000_000_000L;
 
+    /** Number of rejections since the last log line, by the text of their reason. */
     private final Map<String, Integer> counts = new TreeMap<>();
     /** Time of the last log line; the initial value makes the first one due at once without overflow. */
     private long loggedAt = Long.MIN_VALUE / 2;
 
-    /** Counts one rejection under the text of its reason. */
+    /** Counts a rejection; the text of its reason is the result of `toString`. */
     void count(Object reason) {
         counts.merge(reason.toString(), 1, Integer::sum);
     }
--- a/relay/src/main/java/ambertrestle/relay/wire/BackendMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/BackendMessage.java
@@ -21,7 +21,10 @@
     record Err(byte[] raw) implements BackendMessage {}
 
     /** The load of the connection, in microseconds of work per second. */
-    record Load(byte[] raw, double microsPerSecond) implements BackendMessage {}
+    record Load(byte[] raw, double microsPerSecond) implements BackendMessage {
+        /** Exclusive upper bound of a valid load, in microseconds of work per second. */
+        private static final double LOAD_LIMIT_MICROS_PER_SECOND = 1e12;
+    }
 
     /** Any other line, including a LOAD whose value is malformed or out of range. */
     record Payload(byte[] raw) implements BackendMessage {}
@@ -44,7 +47,7 @@
     private static BackendMessage decodeLoad(byte[] raw, String value) {
         try {
             double micros = Double.parseDouble(value);
-            return micros >= 0 && micros < 1e12 ? new Load(raw, micros) : new Payload(raw);
+            return micros >= 0 && micros < Load.LOAD_LIMIT_MICROS_PER_SECOND ? new Load(raw, micros) : new Payload(raw);
         } catch (NumberFormatException e) {
             return new Payload(raw);
         }
--- a/relay/src/main/java/ambertrestle/relay/wire/ClientMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/ClientMessage.java
@@ -17,11 +17,12 @@
      * @param clientKey key of the client, unsigned; 0 if it has none
      * @param useCase index into {@link ConfiguredNames#useCases}
      * @param tenant index into {@link ConfiguredNames#tenants}; 0 if no tenants are configured
-     * @param timeoutMillis how long the client waits for an answer, in milliseconds; -1 if the line has no `d`
+     * @param timeoutMillis how long the client waits for an answer, in milliseconds; -1 if the line has no `d`, in
+     *     which case the cut-off of the use case applies
      * @param groupKey key of the client's group, unsigned; 0 if it has none
      * @param loadEstimate expected load of the connection, in microseconds of work per second; 0 if unknown
      * @param currentBackend name of the backend that already holds the connection; null if there is none
-     * @param isMidFlow true if packets of an open connection reached this relay
+     * @param isMidFlow true if the connection was already open when its packets first reached this relay
      * @param isReconnect true if the client returns after its connection broke or was moved
      * @param parameters the key-value pairs of the last field, in their original order
      */
@@ -39,6 +40,9 @@
             boolean isReconnect,
             Map<String, String> parameters)
             implements ClientMessage {
+        /** Number of fields of an OPEN line, including the keyword. */
+        private static final int FIELD_COUNT = 4;
+
         /**
          * Encodes the OPEN line for a backend. It equals the client's line, except that the value of `d`, if present,
          * is replaced by the time that this relay waits for the backend, in milliseconds.
@@ -67,7 +71,7 @@
     /** Any other line. It is valid only after OPEN; once the connection is up, it is forwarded unchanged. */
     record Payload(byte[] raw) implements ClientMessage {}
 
-    /** An OPEN line that breaks the protocol. */
+    /** An OPEN line that breaks the protocol; `violation` says how. */
     record MalformedOpenRequest(byte[] raw, ProtocolViolation violation) implements ClientMessage {}
 
     /** An unsigned number of up to 64 bits in hexadecimal. */
@@ -89,7 +93,7 @@
             return new Payload(raw);
         }
         String[] fields = line.split(" ", -1);
-        if (fields.length != 4) {
+        if (fields.length != OpenRequest.FIELD_COUNT) {
             return new MalformedOpenRequest(raw, ProtocolViolation.WRONG_FIELD_COUNT);
         }
         if (!matches(HEX_PATTERN, fields[1]) || !matches(HEX_PATTERN, fields[2])) {
--- a/relay/src/main/java/ambertrestle/relay/wire/LineDecoder.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/LineDecoder.java
@@ -6,17 +6,22 @@
 
 /** Splits a byte stream, which arrives in chunks of any size, into lines. Each line includes its CRLF. */
 final class LineDecoder {
-    /** Includes the CRLF. */
+    /**
+     * Longest line that is accepted, including its CRLF. Without a limit, a line that never ends would fill the memory.
+     */
     private static final int MAX_LINE_BYTES = 4096;
 
     private static final int INITIAL_BUFFER_BYTES = 128;
 
+    /** The first {@link #length} bytes are the start of a line whose end has not arrived yet. */
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+
     private int length;
 
     /**
      * Decodes a chunk and passes each complete line to the consumer. Returns false when a line exceeds
-     * {@link #MAX_LINE_BYTES}: the start of the next line can't be found, so the rest of the stream is unusable.
+     * {@link #MAX_LINE_BYTES}: the decoder doesn't search for the start of the next line, so the caller must close the
+     * connection.
      */
     boolean feed(byte[] chunk, Consumer<byte[]> lineConsumer) {
         for (byte b : chunk) {
--- a/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/LineSocket.java
@@ -41,6 +41,7 @@
         void onClosed(boolean reset);
     }
 
+    /** Sets the handlers of a socket that has just connected; the listener is called from now on. */
     LineSocket(NetSocket netSocket, Listener listener) {
         socket = (NetSocketInternal) netSocket;
         channel = socket.channelHandlerContext().channel();
--- a/relay/src/main/java/ambertrestle/relay/wire/NetworkCommand.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/NetworkCommand.java
@@ -9,7 +9,8 @@
      * Connects to a backend and writes the first line.
      *
      * @param socket number for the new socket, negative and not used before
-     * @param address `host:port`; if it is malformed, the socket is reported as closed by a reset
+     * @param address `host:port`; if it is malformed, the connect fails and {@link NetworkEvent.SocketClosed} is
+     *     reported
      * @param firstLine includes its CRLF
      */
     record Connect(long socket, String address, byte[] firstLine) implements NetworkCommand {}
--- a/relay/src/main/java/ambertrestle/relay/wire/NetworkEvent.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/NetworkEvent.java
@@ -10,8 +10,10 @@
     /** A client connected. */
     record ClientAccepted(long socket) implements NetworkEvent {}
 
+    /** A client sent a line. */
     record ClientMessageReceived(long socket, ClientMessage message) implements NetworkEvent {}
 
+    /** A backend sent a line. */
     record BackendMessageReceived(long socket, BackendMessage message) implements NetworkEvent {}
 
     /** The connection to a backend is up; its first line is written next. */
@@ -30,15 +32,15 @@
      */
     record SocketClosed(long socket, boolean isReset) implements NetworkEvent {}
 
-    /** The peer sent a line that is too long. */
+    /** The peer sent a line that is too long. May be reported again until the socket is closed. */
     record FramingError(long socket) implements NetworkEvent {}
 
     /**
      * The roster service sent a message.
      *
-     * @param message the entries that were valid
-     * @param faultyEntries the reasons why entries were skipped, by their names; what was known of those backends
-     *     remains valid
+     * @param message the message with the valid entries only
+     * @param faultyEntries the reasons why entries were skipped, by the entries' names; what earlier messages listed
+     *     for those backends remains valid
      */
     record RosterReceived(RosterMessage message, Map<String, String> faultyEntries) implements NetworkEvent {
         /** A message without faulty entries. */
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterMessage.java
@@ -24,6 +24,8 @@
      *
      * @param name unique name of the backend
      * @param address `host:port`; may be empty if the stage is GONE
+     * @param stage READY for a backend in service, DRAINING for one that is terminating, GONE for one that is
+     *     terminated
      * @param zone name of its zone; empty if not given
      * @param type name of its machine type; empty if not given
      * @param cell number of its cell; 0 if not given
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterStreamParser.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterStreamParser.java
@@ -24,8 +24,8 @@
     private final Consumer<NetworkEvent.RosterReceived> messageListener;
     private final Consumer<String> errorListener;
     /**
-     * Size of the chunks since the last complete value. Blank chunks don't count, nor does the start of a message that
-     * shares a chunk with the end of the previous one.
+     * Size in bytes of the chunks since the last complete value. Short blank chunks don't count, nor does the start of
+     * a message that shares a chunk with the end of the previous one.
      */
     private int unparsedBytes;
 
@@ -61,7 +61,11 @@
         }
     }
 
-    /** No message is partly received and nothing failed, so the last reported roster is current. */
+    /**
+     * Returns true if the last reported roster is current: no message is partly received and parsing has not failed. A
+     * message whose start shared a chunk with the end of the previous one counts as partly received only from its next
+     * chunk on.
+     */
     boolean isAtMessageBoundary() {
         return !hasFailed && unparsedBytes == 0;
     }
--- a/relay/src/main/java/ambertrestle/relay/wire/RosterWatcher.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/RosterWatcher.java
@@ -15,20 +15,28 @@
  * previous one. Not thread-safe; all methods are called on the event loop.
  */
 public final class RosterWatcher {
-    /** The service sends an empty line every 2 s while nothing changes. */
+    /**
+     * A watch on which nothing arrives for this long fails. The service sends an empty line every 2 s while nothing
+     * changes.
+     */
     private static final long IDLE_TIMEOUT_MILLIS = 3_200;
 
+    /** Time limit for the head of the response, counted from the request for a watch. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
+
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int MAX_HTTP_CHUNK_BYTES = 1 << 16;
 
+    private static final String IDLE_TIMEOUT_REASON = "no data within " + IDLE_TIMEOUT_MILLIS + " ms";
+    private static final String CONNECTION_LOST_REASON = "connection lost";
+
     private final Vertx vertx;
     private final HttpClient client;
     private final Consumer<NetworkEvent> eventListener;
     /** Number of the current watch. Callbacks of earlier watches compare it with their own and do nothing. */
     private long currentWatchId;
 
-    /** -1 if no timer was set yet. */
+    /** Vert.x id of the timer that fails the current watch; -1 if no timer was set yet. */
     private long timeoutTimer = -1;
     /** Null until the connection for the current watch is up. */
     private HttpClientRequest currentRequest;
@@ -71,7 +79,7 @@
                         return;
                     }
                     currentRequest = request;
-                    request.exceptionHandler(e -> onWatchFailed(watchId, "cut off"));
+                    request.exceptionHandler(e -> onWatchFailed(watchId, CONNECTION_LOST_REASON));
                     request.send()
                             .onFailure(e -> onWatchFailed(watchId, "no response: the request failed"))
                             .onSuccess(response -> onResponse(watchId, response));
@@ -86,7 +94,7 @@
             onWatchFailed(watchId, "expected HTTP status 200, got " + response.statusCode());
             return;
         }
-        restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, "silent");
+        restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_REASON);
         RosterStreamParser parser = new RosterStreamParser(
                 event -> {
                     if (watchId == currentWatchId) {
@@ -95,14 +103,14 @@
                 },
                 reason -> onWatchFailed(watchId, reason));
         response.handler(chunk -> onChunk(watchId, parser, chunk))
-                .exceptionHandler(e -> onWatchFailed(watchId, "cut off"))
-                .endHandler(v -> onWatchFailed(watchId, "ended"));
+                .exceptionHandler(e -> onWatchFailed(watchId, CONNECTION_LOST_REASON))
+                .endHandler(v -> onWatchFailed(watchId, "the service ended the response"));
     }
 
     /** Restarts the idle timeout, because any chunk shows that the service is alive. Malformed input ends the watch. */
     private void onChunk(long watchId, RosterStreamParser parser, Buffer chunk) {
         if (watchId == currentWatchId) {
-            restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, "silent");
+            restartTimeout(watchId, IDLE_TIMEOUT_MILLIS, IDLE_TIMEOUT_REASON);
             parser.feed(chunk);
             // Without this check, part of a message or malformed input would confirm the roster, and a persisted roster
             // would appear to be newer than it is.
--- a/relay/src/main/java/ambertrestle/relay/wire/SocketManager.java
+++ b/relay/src/main/java/ambertrestle/relay/wire/SocketManager.java
@@ -18,7 +18,13 @@
  * the event loop.
  */
 public final class SocketManager {
+    /** Number of connections that the operating system may hold until the event loop accepts them. */
     private static final int ACCEPT_BACKLOG = 1024;
+    /**
+     * Multiple of the reducer's connect timeout after which a connect fails by itself. The reducer cancels a connect
+     * after its timeout; this is a fallback in case it doesn't.
+     */
+    private static final int CONNECT_TIMEOUT_FACTOR = 2;
 
     private final NetServer server;
     private final NetClient client;
@@ -36,6 +42,7 @@
      *
      * @param connectTimeoutMillis timeout that the reducer applies to connects to backends
      * @param names the use cases and tenants that clients may name
+     * @param eventListener receives all events, on the event loop
      */
     public SocketManager(
             Vertx vertx, int connectTimeoutMillis, ConfiguredNames names, Consumer<NetworkEvent> eventListener) {
@@ -45,9 +52,9 @@
                 .setTcpNoDelay(true)
                 .setAcceptBacklog(ACCEPT_BACKLOG)
                 .setReuseAddress(true));
-        // The reducer cancels a connect after the timeout. The doubled timeout here is a fallback in case it doesn't.
-        client = vertx.createNetClient(
-                new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2 * connectTimeoutMillis));
+        client = vertx.createNetClient(new NetClientOptions()
+                .setTcpNoDelay(true)
+                .setConnectTimeout(CONNECT_TIMEOUT_FACTOR * connectTimeoutMillis));
     }
 
     /** Starts to accept clients and returns the port, which the system chooses if `port` is 0. */
--- a/relay/src/test/java/ambertrestle/relay/wire/SocketManagerTest.java
+++ b/relay/src/test/java/ambertrestle/relay/wire/SocketManagerTest.java
@@ -172,7 +172,9 @@
         }
     }
 
-    /** A roster service that vanishes closes nothing; without a timeout, the relay would keep an outdated roster. */
+    /**
+     * A roster service that vanishes doesn't close its connections. Without a timeout, the roster would stay outdated.
+     */
     @Test
     void idleWatchFailsBeforeTwoHeartbeatsAreMissed() throws Exception {
         try (ServerSocket service = new ServerSocket(0, 5, loopback)) {
@@ -182,7 +184,8 @@
                 connection
                         .getOutputStream()
                         .write(bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
-                assertThat(events.poll(4, TimeUnit.SECONDS)).isEqualTo(new NetworkEvent.RosterWatchFailed("silent"));
+                assertThat(events.poll(4, TimeUnit.SECONDS))
+                        .isEqualTo(new NetworkEvent.RosterWatchFailed("no data within 3200 ms"));
             }
         }
     }
