--- a/core/src/main/java/ambertrestle/decide/Balancer.java
+++ b/core/src/main/java/ambertrestle/decide/Balancer.java
@@ -115,9 +115,12 @@
     private static final int SLOW_SHARE_EXTRA_BACKENDS = 2;
     /** Connections per ready backend above which a backend without any connection of this relay is idle. */
     private static final int MANY_CONNECTIONS_PER_BACKEND = 3;
-    /** The connections per ready backend are too small a sample up to the number of relays divided by this. */
+    /**
+     * This relay's connections are a sufficient sample of all connections if there are more per ready backend than the
+     * number of relays divided by this.
+     */
     private static final int SAMPLE_SIZE_DIVISOR = 2;
-    /** The same for a sample from which idle backends are recognized. */
+    /** The same, for recognizing idle backends. */
     private static final int IDLE_SAMPLE_SIZE_DIVISOR = 4;
     /** Pairs with the same key that are assumed before any is seen; also assumed per backend among all pairs. */
     private static final double PRIOR_PAIRS = 0.25;
@@ -138,7 +141,7 @@
     private static final double MIN_FAIR_SHARE_MULTIPLE = 1.25;
     /** Chance of a successful set-up that a backend must have to pass outlier detection. */
     private static final double MIN_SUCCESS_CHANCE = 0.5;
-    /** One in this many of the examined connections is moved in a rebalancing pass if it is misplaced. */
+    /** A rebalancing pass moves a misplaced connection that it examines with a chance of one in this many. */
     private static final int REBALANCE_ONE_IN = 8;
     /** Connections after which a rebalancing pass ends; those of the last backend are all examined. */
     private static final int MAX_REBALANCE_CANDIDATES = 256;
@@ -146,6 +149,8 @@
     private static final long REBALANCE_AFTER_SLOW_START = 5 * SECOND;
     /** Time constant of the exponential decay of completed connections, and longest time that their rate covers. */
     private static final long COMPLETION_RATE_WINDOW = 10 * SECOND;
+    /** No set-up is put off into the last part of an association's time: the use case's cut-off divided by this. */
+    private static final int PACING_RESERVE_DIVISOR = 4;
     /** Shortest interval between paced set-ups of all relays together; one relay's is this times the relay count. */
     private static final int MIN_SET_UP_INTERVAL_MILLIS = 12;
     /** Lowest rate of paced set-ups, in set-ups per second of all relays together. */
@@ -194,7 +199,7 @@
     private final int maxDispatches;
     /** Number of relays of the deployment, this one included. */
     private final int relayCount;
-    /** An association may be dispatched again while an earlier dispatch is in flight. */
+    /** The settings allow several dispatches in flight. {@link #selectBackend} makes no further one even so. */
     private final boolean allowsConcurrentDispatches;
     /** Roster weights count; otherwise every backend weighs 1. */
     private final boolean usesRosterWeights;
@@ -243,7 +248,7 @@
     private double completedConnections;
     /** Time up to which {@link #completedConnections} has been decayed. */
     private long completedConnectionsUpdatedAt;
-    /** Since when completed connections are counted; restoring learned state sets it back by the time that covers. */
+    /** Since when completed connections are counted, including the time for which the restored count was observed. */
     private long observedSince;
     /** Moving average of the set-up time; 0 before the first set-up. */
     private double typicalSetUpTime;
@@ -355,7 +360,7 @@
         // Set-up pacing: waits for the next free set-up time, or gives up if that leaves less than a quarter of the use
         // case's cut-off time.
         if (setUpInterval > 0 && now < nextSetUpAt && association.reservedSetUpAt == 0 && !association.isMidFlow) {
-            if (nextSetUpAt >= association.cutOffAt - useCases[association.useCase].cutOff() / 4) {
+            if (nextSetUpAt >= association.cutOffAt - useCases[association.useCase].cutOff() / PACING_RESERVE_DIVISOR) {
                 return shedOrForfeit(association);
             }
             association.reservedSetUpAt = nextSetUpAt;
@@ -674,8 +679,8 @@
      * a quarter of the backends are slow, a group's connection only goes to the first ready backends in the order or,
      * if this relay has enough connections to recognize one, to an idle backend.
      *
-     * <p>A mid-flow association goes to its pinned backend, or else to the first one in its order, whatever the load
-     * there.
+     * <p>The first dispatch of a mid-flow association goes to its pinned backend, or else to the first one in its
+     * order, whatever the load there, if {@link #mayDispatch} allows it.
      */
     private Backend findEligibleBackend(Association association, long now) {
         // Slow start factors change with time, and so do the sums over them.
@@ -696,10 +701,9 @@
                                 occupiedBackends + slowWithoutConnections + SLOW_SHARE_EXTRA_BACKENDS),
                         1);
         TrackingEntry entry = trackingTable.get(association.placementKey());
-        // Each backend that holds any connection of a group has a cost for that group, so that a large group spread
-        // over
-        // all backends would overload all of them. The limit is the number of backends that the group fills plus two;
-        // while more than a third of the backends are slow, it is that number, rounded down, plus one.
+        // Each backend that holds any connection of a group has a cost for that group, so that a large group on all
+        // backends would overload all of them. The limit is the number of backends that the group fills plus two; while
+        // more than a third of the backends are slow, it is that number, rounded down, plus one.
         double subsetSize = association.groupKey == 0 ? tableMembers.length : subsetSize(entry, slowShare);
         int backendLimit = slowShare * MANY_SLOW_ONE_IN > 1 ? 1 + (int) subsetSize : 2 + (int) Math.round(subsetSize);
         int holderCount = 0;
@@ -733,6 +737,7 @@
         for (int i = 0, readySeen = 0;
                 i < tableMembers.length && (searchesAllBackends || readySeen <= backendLimit);
                 i++) {
+            // Starts at the client's assigned backend, goes round the subset, and then on along the preference order.
             Backend backend = preferredBackend(i < subsetLength ? (association.subsetIndex + i) % subsetLength : i);
             boolean isLikelyHolder = isAlreadyOpen && i == 0;
             readySeen += backend != null && backend.stage == Stage.READY ? 1 : 0;
@@ -907,7 +912,7 @@
         }
     }
 
-    /** True if the client's assigned backend is ready and has a better score for the client than its current one. */
+    /** True if the client's assigned backend is ready and has a lower, hence better, score than its current one. */
     private boolean isMisplaced(Association association, Backend backend, long now) {
         startPreferenceOrder(association);
         int previousIndex = association.subsetIndex;
@@ -1136,11 +1141,11 @@
             boolean isOutsideScope = backend != null
                     && (useCase.scope() == UseCase.DeduplicationScope.ZONE && earlier.zone != backend.zone
                             || useCase.scope() == UseCase.DeduplicationScope.CELL && earlier.cell != backend.cell);
-            boolean isUndetected =
+            boolean isDuplicateUndetected =
                     isOutsideScope || now - association.sentAt[dispatch] >= useCase.deduplicationWindow();
             if (association.dispatchStates[dispatch] != Association.DispatchState.NEVER_RAN
                     && (useCase.effect() == UseCase.Effect.BINDING
-                            || useCase.effect() == UseCase.Effect.FINGERPRINTED && isUndetected)) {
+                            || useCase.effect() == UseCase.Effect.FINGERPRINTED && isDuplicateUndetected)) {
                 return false;
             }
         }
@@ -1173,16 +1178,18 @@
                 backend.slowStartBudget = maxInitialBudget > 0 ? random.nextDouble() * maxInitialBudget : 0;
                 backend.slowStartBudgetUpdatedAt = Math.max(slowStartBeganAt(backend), now - slowStartBudgetWindow);
             }
+            // The budget is limited to what accumulates in one window, or to one dispatch if that is more.
             backend.slowStartBudget = Math.min(
                     Math.max(1, rate * slowStartBudgetWindow),
                     backend.slowStartBudget + rate * (now - backend.slowStartBudgetUpdatedAt));
             backend.slowStartBudgetUpdatedAt = now;
             // With a hundred relays, no single one earns the budget of a whole dispatch in time, and new backends would
-            // get nothing. The client's assigned backend may therefore exceed its budget by up to one dispatch. A cold
-            // backend is assigned fewer clients according to its slow start factor, so the sum over all relays stays in
-            // proportion. While the mean slow start factor of the ready backends is below one half, the excess is
-            // smaller, in proportion to the square of that mean. A mid-flow association may exceed the budget by one
-            // dispatch more, since its connection is probably open there already.
+            // get nothing. While this relay's connections are too small a sample, a client's assigned backend may
+            // therefore exceed its budget by up to one dispatch. A cold backend is assigned fewer clients according to
+            // its slow start factor, so the sum over all relays stays in proportion. While the mean slow start factor
+            // of the ready backends is below one half, the excess is smaller, in proportion to the square of that mean.
+            // A mid-flow association may exceed the budget by one dispatch more, since its connection is probably open
+            // there already.
             double maxOverdraft = unobservedShare()
                     * Math.min(
                             1,
