--- a/relay/src/main/java/ambertrestle/Main.java
+++ b/relay/src/main/java/ambertrestle/Main.java
@@ -7,16 +7,17 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 
-/** Entry point of the daemon. The most frequent commands bypass the command line parser. */
+/** Entry point of the daemon. Its most frequent commands bypass picocli, the command line parser, to start faster. */
 public final class Main {
     private Main() {}
 
     public static void main(String[] args) {
-        // Parsing options would delay a restarted relay, which has only part of a core while clients wait for it.
+        // Parsing options would lengthen the restart of a relay, which gets only part of a CPU core while clients wait.
         if (args.length == 1 && args[0].equals("serve")) {
             RelayServer.run(System.getenv(), Log.Format.TEXT, null);
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
-            // A relay that persists its state always has this option. Parsing it would take a fifth of the start.
+            // A relay that persists its state is always started with this option. Parsing it with picocli would take
+            // a fifth of its start-up time.
             OperatorConfiguration operatorConfiguration =
                     Cli.readOperatorConfiguration(Path.of(args[2]), new PrintWriter(System.err, true));
             if (operatorConfiguration == null) {
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -51,6 +51,8 @@
         },
         footer = {"", "Exit codes: 0 success; 1 faulty input or failed start; 2 wrong usage; 143 ended by SIGTERM."})
 public final class Cli implements Callable<Integer> {
+    private static final int NANOS_PER_MILLI = 1_000_000;
+
     @Spec
     private CommandSpec spec;
 
@@ -65,6 +67,7 @@
         return 2;
     }
 
+    /** Runs one relay until the process gets SIGTERM. */
     @Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs one relay until SIGTERM.")
     static final class ServeCommand implements Callable<Integer> {
         @Spec
@@ -104,12 +107,13 @@
                     environment,
                     logFormat != null ? logFormat : operatorConfiguration.logFormat(),
                     operatorConfiguration.persistence());
-            // Waits forever: a signal or a failed start ends the JVM, and returning would end it now.
+            // Waits forever: a signal or a failed start ends the JVM. If this method returned, Main would end it now.
             Thread.currentThread().join();
             return 0;
         }
     }
 
+    /** Runs relays for the simulator until standard input ends. */
     @Command(
             name = "simhost",
             mixinStandardHelpOptions = true,
@@ -121,7 +125,7 @@
         }
     }
 
-    /** Reads the operator file; if it is faulty, prints each fault to `err` and returns null. */
+    /** Reads the operator file; if it cannot be read or is faulty, prints the reasons to `err` and returns null. */
     public static OperatorConfiguration readOperatorConfiguration(Path path, PrintWriter err) {
         try {
             return OperatorConfiguration.read(path);
@@ -147,6 +151,7 @@
         return 1;
     }
 
+    /** Checks the relay configuration and an operator file without starting a relay. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -197,6 +202,7 @@
         }
     }
 
+    /** Prints the backends that a newly started relay would select for given keys. */
     @Command(
             name = "place",
             mixinStandardHelpOptions = true,
@@ -231,7 +237,7 @@
             RelayConfiguration configuration;
             RosterMessage rosterMessage;
             try {
-                // Nothing connects to these addresses; a configuration may leave them to the environment.
+                // Placeholders, because a configuration may leave its addresses to the environment. Nothing uses them.
                 configuration = RelayConfiguration.read(Map.of(
                         "BALANCER_CONFIG",
                         configurationFile,
@@ -256,7 +262,7 @@
                 return 1;
             }
             PlacementPreview preview = new PlacementPreview(
-                    configuration.reducerConfiguration(), rosterMessage, System.currentTimeMillis() * 1_000_000);
+                    configuration.reducerConfiguration(), rosterMessage, System.currentTimeMillis() * NANOS_PER_MILLI);
             PrintWriter out = spec.commandLine().getOut();
             int lineNumber = 0;
             BufferedReader in = keys.isEmpty()
--- a/relay/src/main/java/ambertrestle/cli/StateCommand.java
+++ b/relay/src/main/java/ambertrestle/cli/StateCommand.java
@@ -29,6 +29,12 @@
         description = "Reads a state file, from the folder that [durable] of the operator file names.",
         subcommands = {StateCommand.ShowCommand.class, StateCommand.VerifyCommand.class})
 final class StateCommand implements Callable<Integer> {
+    private static final int NANOS_PER_MILLI = 1_000_000;
+    /** The same as a floating-point number, for results with a fraction. */
+    private static final double NANOS_PER_MILLI_DOUBLE = 1e6;
+
+    private static final double NANOS_PER_SECOND = 1e9;
+
     @Spec
     private CommandSpec spec;
 
@@ -50,13 +56,14 @@
         return null;
     }
 
-    /** The time in UTC; "never" for 0. */
+    /** Returns the time in UTC, or "never" for 0 and less. */
     private static String formatTime(long unixNanos) {
         return unixNanos <= 0
                 ? "never"
-                : Instant.ofEpochMilli(unixNanos / 1_000_000).toString();
+                : Instant.ofEpochMilli(unixNanos / NANOS_PER_MILLI).toString();
     }
 
+    /** Reports whether a state file is complete and valid. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
@@ -89,6 +96,7 @@
         }
     }
 
+    /** Prints the content of a state file. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
@@ -110,16 +118,18 @@
             if (snapshot == null) {
                 return 1;
             }
-            printSnapshot(snapshot, spec.commandLine().getOut(), listPins, System.currentTimeMillis() * 1_000_000);
+            printSnapshot(
+                    snapshot, spec.commandLine().getOut(), listPins, System.currentTimeMillis() * NANOS_PER_MILLI);
             return 0;
         }
     }
 
     /**
-     * Prints a snapshot. Scripts compare the labels and columns: "carried" is the rate of completed connections,
-     * "heard" the last confirmation of the roster, and the table "judged" has for each backend its decayed counts of
-     * successful set-ups (stood), failures (failed) and failures with a shared cause (slow), its reported delay (late
-     * ms) and the weight that its counts have now.
+     * Prints a snapshot. Scripts compare the labels and columns, so they must not change: "carried" is the rate of
+     * completed connections, "heard" the time when the roster service last confirmed the roster, and the table "judged"
+     * has for each backend its decayed counts of successful set-ups (stood), of failures (failed) and of failures that
+     * a shared dependency may have caused (slow), its reported delay (late ms) and the weight that these counts have
+     * now.
      *
      * @param listPins whether to print each pin, or only their number
      * @param now Unix time in nanoseconds, for ages and weights
@@ -133,7 +143,7 @@
                 "relay      %s%nkept at    %s, %.1f s ago%n",
                 snapshot.relayName(),
                 formatTime(snapshot.takenAt()),
-                (now - snapshot.takenAt()) / 1e9);
+                (now - snapshot.takenAt()) / NANOS_PER_SECOND);
         out.printf(
                 "roster     version %d of %s, heard %s%n",
                 snapshot.roster().version(),
@@ -142,12 +152,13 @@
         out.printf(
                 Locale.ROOT,
                 "carried    %.2f connections a second lived to their end; a set-up takes %.1f ms; %s%n",
+                // One second is added, as when a relay restores this rate, so that a period of 0 yields a finite rate.
                 learnedState.relayStatistics().completedConnections()
-                        / (learnedState.relayStatistics().observedFor() / 1e9 + 1),
-                learnedState.relayStatistics().typicalSetUpTime() / 1e6,
+                        / (learnedState.relayStatistics().observedFor() / NANOS_PER_SECOND + 1),
+                learnedState.relayStatistics().typicalSetUpTime() / NANOS_PER_MILLI_DOUBLE,
                 learnedState.relayStatistics().setUpInterval() > 0
                         ? "set-ups are spaced by "
-                                + learnedState.relayStatistics().setUpInterval() / 1_000_000 + " ms"
+                                + learnedState.relayStatistics().setUpInterval() / NANOS_PER_MILLI + " ms"
                         : "set-ups are not spaced");
         out.printf("%n%-24s %-9s %-24s %s%n", "backend", "stage", "started", "address");
         for (RosterMessage.Entry entry : snapshot.roster().entries()) {
@@ -167,7 +178,7 @@
                     statistics.successes(),
                     statistics.failures(),
                     statistics.sharedCauseFailures(),
-                    statistics.reportedDelay() / 1_000_000,
+                    statistics.reportedDelay() / NANOS_PER_MILLI,
                     LearnedStateDecay.failureEvidenceWeight(now - statistics.evidenceUpdatedAt()));
         }
         out.printf("%n%d pins%n", learnedState.pins().size());
--- a/relay/src/main/java/ambertrestle/relay/persistence/FileSystemStorage.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/FileSystemStorage.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * The state directory on the file system. Holds a file lock on the directory, which the operating system releases when
- * the process ends, also after a crash or a kill.
+ * The state directory on the file system. It is locked by a lock on a file in it, which the operating system releases
+ * when the process ends, also after a crash or a kill.
  */
 final class FileSystemStorage implements Storage {
     private static final String LOCK_FILE = "lock";
--- a/relay/src/main/java/ambertrestle/relay/persistence/Recovery.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/Recovery.java
@@ -13,6 +13,8 @@
  * functions, no I/O. Times are Unix time in nanoseconds.
  */
 public final class Recovery {
+    private static final double NANOS_PER_SECOND = 1e9;
+
     /** The origin of the initial roster. */
     public enum RosterSource {
         /** The initial roster is empty. */
@@ -59,7 +61,8 @@
     /**
      * Returns the state with which the relay starts. Of the configured and the persisted roster, the one with the
      * higher version is used; if the versions are equal, the persisted one, because its age is known. A non-empty
-     * persisted roster is also used if the configured one is empty or the persisted one is from another roster service.
+     * persisted roster is also used if the configured one is empty, or if the persisted one is from another roster
+     * service, whose versions cannot be compared.
      *
      * @param snapshot the newest valid snapshot, or null if there is none
      * @param rosterAddress the address of the roster service in use
@@ -118,6 +121,6 @@
     static String formatAge(long confirmedAt, long now) {
         return confirmedAt == 0
                 ? "at an unknown time"
-                : String.format(Locale.ROOT, "%.1f s ago", (now - confirmedAt) / 1e9);
+                : String.format(Locale.ROOT, "%.1f s ago", (now - confirmedAt) / NANOS_PER_SECOND);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/SnapshotBuilder.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotBuilder.java
@@ -18,13 +18,15 @@
  */
 public final class SnapshotBuilder {
     private final String relayName;
-    /** The roster service that confirmed the roster last, or empty. */
+    /** The roster service that last confirmed the roster; at first that of the initial roster, or empty. */
     private String rosterAddress = "";
 
     /** When the roster was last confirmed, 0 for never. */
     private long rosterConfirmedAt;
 
+    /** The complete roster. Version -1 means that no roster is known yet. */
     private RosterMessage roster = new RosterMessage(-1, true, List.of());
+
     private final Map<Long, BackendStatistics> backendStatistics = new HashMap<>();
     /** Pins by key, the least recently changed first. */
     private final LinkedHashMap<Long, Pin> pins = new LinkedHashMap<>();
@@ -39,6 +41,9 @@
     /**
      * Sets the roster with which the relay starts. Without it, a relay that never reaches its roster service would lose
      * the persisted roster, because its next state file would hold an empty one.
+     *
+     * @param rosterAddress the roster service with which the relay starts
+     * @param confirmedAt when the roster was last confirmed; 0 if unknown
      */
     public void setInitialRoster(String rosterAddress, long confirmedAt, RosterMessage initialRoster) {
         onRosterConfirmed(rosterAddress, confirmedAt);
--- a/relay/src/main/java/ambertrestle/relay/persistence/SnapshotDirectory.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/SnapshotDirectory.java
@@ -17,9 +17,11 @@
     /** Length of `state-`, after which a file name has the generation's number. */
     private static final int NAME_PREFIX_LENGTH = 6;
 
-    private static final Pattern NAME = Pattern.compile("state-(\\d{18})");
-    private static final Pattern TEMPORARY_NAME = Pattern.compile("state-\\d{18}\\.new");
+    private static final Pattern STATE_FILE_NAME = Pattern.compile("state-(\\d{18})");
+    private static final Pattern TEMPORARY_FILE_NAME = Pattern.compile("state-\\d{18}\\.new");
+    /** How many generations remain after a write. */
     private static final int RETAINED_GENERATIONS = 2;
+
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final Storage storage;
@@ -29,7 +31,7 @@
     /** Names of the files that this relay may delete, oldest first. */
     private final List<String> ownFiles = new ArrayList<>();
 
-    /** The highest generation number that was found or used, 0 for none. */
+    /** The highest generation number that was found in the directory or used for a write; 0 if there is none. */
     private long generation;
 
     /** A file that could not be restored, with the cause. */
@@ -39,7 +41,8 @@
      * The result of reading the directory.
      *
      * @param snapshot the newest valid snapshot of this relay, or null if there is none
-     * @param rejectedFiles the newer files that were skipped, newest first
+     * @param rejectedFiles the files that were skipped: those newer than the snapshot, or all if there is none; newest
+     *     first
      */
     record ReadResult(StateSnapshot snapshot, List<RejectedFile> rejectedFiles) {}
 
@@ -58,7 +61,7 @@
      */
     ReadResult readNewest(long now) throws IOException {
         List<String> files = new ArrayList<>(storage.listFileNames().stream()
-                .filter(name -> NAME.matcher(name).matches())
+                .filter(name -> STATE_FILE_NAME.matcher(name).matches())
                 .toList());
         files.sort(Comparator.reverseOrder());
         StateSnapshot newest = null;
@@ -87,6 +90,7 @@
         return new ReadResult(newest, rejectedFiles);
     }
 
+    /** Reads a file and checks its size, its content, the relay to which it belongs and its age. */
     private StateSnapshot readSnapshot(String file, long now) throws RejectedException {
         byte[] bytes;
         try {
@@ -135,7 +139,10 @@
         }
     }
 
-    /** Without this, a full disk would stay full, because the partially written file takes up the free space. */
+    /**
+     * Deletes the file of a failed write. Without this, a full disk would stay full, because the partially written file
+     * takes up the free space.
+     */
     private void deleteTemporaryFile(String temporaryName) {
         try {
             storage.delete(temporaryName);
@@ -147,7 +154,7 @@
     /** Deletes the partially written files of earlier processes. */
     void deleteTemporaryFiles() throws IOException {
         for (String name : storage.listFileNames()) {
-            if (TEMPORARY_NAME.matcher(name).matches()) {
+            if (TEMPORARY_FILE_NAME.matcher(name).matches()) {
                 storage.delete(name);
             }
         }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StartupProgress.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StartupProgress.java
@@ -13,6 +13,7 @@
  * without influence on the choice of backends. Times are Unix time in nanoseconds.
  */
 public final class StartupProgress {
+    /** The phases of the start-up, in their order. */
     public enum Phase {
         /** No message from the roster service yet. */
         AWAITING_ROSTER,
@@ -31,15 +32,17 @@
     /** Value of {@link #stableSince} while no watch is running; {@link #wakeAt} is then {@link Long#MAX_VALUE}. */
     private static final long NO_WATCH = Long.MAX_VALUE - STABLE_WATCH_NANOS;
 
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private final InitialState initialState;
     private final long startedAt;
     private Phase phase = Phase.AWAITING_ROSTER;
     /** When the current watch delivered its first message, or {@link #NO_WATCH}. Unused before CONVERGING. */
     private long stableSince;
-    /** How many watches have ended since the start. */
+    /** How many watches have ended, or could not be opened, since the start. */
     private int watchFailures;
 
-    private boolean startLogged;
+    private boolean isStartLogged;
 
     public StartupProgress(InitialState initialState, long now) {
         this.initialState = initialState;
@@ -55,6 +58,7 @@
         return phase == Phase.CONVERGING ? stableSince + STABLE_WATCH_NANOS : Long.MAX_VALUE;
     }
 
+    /** Returns the message that names the initial roster, its age and the extent of the restored state. */
     private LogMessage createStartMessage() {
         int backends = initialState.roster().entries().size();
         String source =
@@ -108,7 +112,7 @@
                 Locale.ROOT,
                 "the roster service answered after %.1f s; changes since the initial roster: %d gone, %d new, "
                         + "%d restarted, %d draining",
-                (now - startedAt) / 1e9,
+                (now - startedAt) / NANOS_PER_SECOND,
                 previousEntries.size(),
                 added,
                 restarted,
@@ -143,8 +147,8 @@
      * @return the message to log, or null if there is nothing to log
      */
     public LogMessage onTimer(long now) {
-        if (!startLogged) {
-            startLogged = true;
+        if (!isStartLogged) {
+            isStartLogged = true;
             return createStartMessage();
         }
         if (phase != Phase.CONVERGING || now < wakeAt()) {
@@ -157,7 +161,7 @@
                 String.format(
                         Locale.ROOT,
                         "the roster matches the roster service, %.1f s after the start",
-                        (now - startedAt) / 1e9),
+                        (now - startedAt) / NANOS_PER_SECOND),
                 Map.of("broken", Integer.toString(watchFailures)));
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateFileCodec.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateFileCodec.java
@@ -33,6 +33,7 @@
     /** Position of the checksum's four bytes in the file. */
     private static final int CHECKSUM_OFFSET = 24;
 
+    /** Position of the first byte after the checksum. */
     private static final int CHECKSUM_END = 28;
     /** Initial size of the output buffer, which grows as needed. */
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -79,7 +80,7 @@
         public final RejectionReason reason;
 
         /**
-         * Creates the exception.
+         * Rejects a file for this reason.
          *
          * @param detail added to the reason's description; empty for none
          */
@@ -140,8 +141,8 @@
         header.getInt();
         long length = header.getLong();
         int expectedChecksum = header.getInt();
-        // The version is compared last. Without this order, a corrupt file could be taken for one of a newer version,
-        // because the version field itself may be corrupt.
+        // The version is compared after length and checksum. In another order, a corrupt file could be taken for one of
+        // a newer version, because the version field itself may be corrupt.
         if (length != file.length - HEADER_BYTES) {
             throw new RejectedException(RejectionReason.TORN, file.length - HEADER_BYTES + " of " + length + " bytes");
         }
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateSnapshot.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateSnapshot.java
@@ -21,6 +21,7 @@
         long rosterConfirmedAt,
         RosterMessage roster,
         LearnedState learnedState) {
+    /** Returns a copy that has no pins, for a smaller state file. */
     StateSnapshot withoutPins() {
         return new StateSnapshot(
                 relayName,
--- a/relay/src/main/java/ambertrestle/relay/persistence/StateStore.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/StateStore.java
@@ -16,7 +16,7 @@
     private final SnapshotBuilder builder;
     private final long maxBytes;
     /** Whether the last attempt to lock or write failed, so that a series of failures is logged once. */
-    private boolean failing;
+    private boolean isFailing;
 
     private StateStore(Storage storage, String relayName, long maxAgeNanos, long maxBytes) {
         this.storage = storage;
@@ -48,8 +48,9 @@
         } catch (DirectoryInUseException e) {
             throw e;
         } catch (IOException e) {
-            // Without this, a relay whose directory is not writable would neither serve nor use the state in it.
-            store.failing = true;
+            // If this ended the start-up, a relay whose directory is not writable would neither serve nor restore the
+            // state in it.
+            store.isFailing = true;
             logMessages.add(new LogMessage(
                     true,
                     "state-not-kept",
@@ -88,7 +89,12 @@
         }
     }
 
-    /** Sets the roster with which the relay starts. Must be called before the first {@link #persist}. */
+    /**
+     * Sets the roster with which the relay starts. Must be called before the first {@link #persist}.
+     *
+     * @param rosterAddress the roster service with which the relay starts
+     * @param confirmedAt when the roster was last confirmed; 0 if unknown
+     */
     public void setInitialRoster(String rosterAddress, long confirmedAt, RosterMessage roster) {
         builder.setInitialRoster(rosterAddress, confirmedAt, roster);
     }
@@ -118,20 +124,20 @@
                 throw new IOException(
                         "the state file without pins has " + file.length + " bytes, more than durable.most-megabytes");
             }
-            // Without this, a relay that could not lock the directory at start-up would write into a directory that
-            // another relay may have locked since.
+            // Does nothing if the lock is held. Without it, a relay that could not lock the directory at start-up would
+            // write into a directory that another relay may have locked since.
             storage.lock();
             snapshots.writeGeneration(file);
         } catch (IOException e) {
-            boolean isFirstFailure = !failing;
-            failing = true;
+            boolean isFirstFailure = !isFailing;
+            isFailing = true;
             return isFirstFailure
                     ? new LogMessage(
                             true, "state-not-kept", "the relay's state is not persisted: " + describe(e), Map.of())
                     : null;
         }
-        if (failing) {
-            failing = false;
+        if (isFailing) {
+            isFailing = false;
             return new LogMessage(false, "state-kept-again", "the relay's state is persisted again", Map.of());
         }
         return isWithoutPins
--- a/relay/src/main/java/ambertrestle/relay/persistence/Storage.java
+++ b/relay/src/main/java/ambertrestle/relay/persistence/Storage.java
@@ -19,6 +19,7 @@
     @Override
     void close() throws IOException;
 
+    /** Returns the names of all files in the directory, in any order. */
     List<String> listFileNames() throws IOException;
 
     /** Returns the size of the file in bytes. */
--- a/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
+++ b/relay/src/main/java/ambertrestle/relay/server/JsonLineIndex.java
@@ -16,6 +16,7 @@
     /** Line of each value by its path, in lower case: names joined by dots, array elements by their index from 0. */
     private final Map<String, Integer> lineByPath = new HashMap<>();
 
+    /** See {@link #syntaxErrorLine()}. */
     private int syntaxErrorLine;
 
     /** Indexes the text up to its end or up to its first syntax error. */
@@ -40,6 +41,9 @@
         return syntaxErrorLine;
     }
 
+    /**
+     * Returns the path of the value at which the parser is, in the format of {@link #lineByPath}; empty at the root.
+     */
     private static String pathOf(JsonStreamContext context) {
         String segment = context.inArray()
                 ? Integer.toString(Math.max(0, context.getCurrentIndex()))
--- a/relay/src/main/java/ambertrestle/relay/server/Log.java
+++ b/relay/src/main/java/ambertrestle/relay/server/Log.java
@@ -28,6 +28,11 @@
         JSON
     }
 
+    /** Initial capacity, in characters, of the buffer for a line of text; it grows as needed. */
+    private static final int INITIAL_TEXT_LENGTH = 160;
+    /** The same for a line of JSON. */
+    private static final int INITIAL_JSON_LENGTH = 240;
+
     private static final Logger LOG = System.getLogger("ambertrestle");
 
     /** Event name and fields of a message, passed as the only parameter of its log record. */
@@ -52,6 +57,7 @@
         LOG.log(level, message, new LogEvent(event, fields));
     }
 
+    /** Logs a message without fields. */
     static void log(Level level, String event, String message) {
         log(level, event, message, Map.of());
     }
@@ -63,7 +69,11 @@
         log(Level.ERROR, event, message, Map.of("trace", stackTrace.toString().strip()));
     }
 
-    /** The event of a record. Messages of libraries have none; the name of their logger is used as the event name. */
+    /**
+     * The event of a record. Messages of libraries have none: their event has the name of their logger and no fields.
+     * The formatters recognize them by this and, unlike in messages of the relay, replace placeholders such as {0} in
+     * them.
+     */
     private static LogEvent eventOf(LogRecord record) {
         Object[] parameters = record.getParameters();
         return parameters != null && parameters.length == 1 && parameters[0] instanceof LogEvent logEvent
@@ -86,7 +96,7 @@
         @Override
         public String format(LogRecord record) {
             LogEvent logEvent = eventOf(record);
-            StringBuilder line = new StringBuilder(160);
+            StringBuilder line = new StringBuilder(INITIAL_TEXT_LENGTH);
             TIME.formatTo(record.getInstant(), line);
             line.append(' ')
                     .append(levelName(record))
@@ -114,7 +124,7 @@
         @Override
         public String format(LogRecord record) {
             LogEvent logEvent = eventOf(record);
-            StringWriter line = new StringWriter(240);
+            StringWriter line = new StringWriter(INITIAL_JSON_LENGTH);
             try (JsonGenerator json = factory.createGenerator(line)) {
                 json.writeStartObject();
                 json.writeStringField(
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -10,8 +10,10 @@
 
 /**
  * The operator file: optional features that are set separately from the platform's configuration, in TOML. This class
- * is the only place where the file is read and checked and where its defaults are defined. A relay serves without it.
+ * is the only place where the file is read and checked and where its defaults are defined. A relay runs without it,
+ * too.
  *
+ * @param logFormat format of the log, unless the command line sets another one
  * @param persistence where and how to persist the relay's state; null if it isn't persisted
  */
 public record OperatorConfiguration(Log.Format logFormat, PersistenceConfiguration persistence) {
@@ -19,6 +21,14 @@
     private static final long MIN_INTERVAL_NANOS = 100_000_000L;
     /** Upper bound of durable.interval: 1 h. */
     private static final long MAX_INTERVAL_NANOS = 3_600_000_000_000L;
+    /** Value of durable.most-megabytes if the file has none. */
+    private static final long DEFAULT_SIZE_LIMIT_MEGABYTES = 16;
+    /** Bounds of durable.most-megabytes. */
+    private static final long LOWEST_SIZE_LIMIT_MEGABYTES = 1;
+
+    private static final long HIGHEST_SIZE_LIMIT_MEGABYTES = 1024;
+    /** Shifting a number of megabytes (2^20 bytes) left by this yields bytes. */
+    private static final int MEGABYTE_SHIFT = 20;
 
     /** The configuration of a relay that has no operator file. */
     public static final OperatorConfiguration DEFAULT = new OperatorConfiguration(Log.Format.TEXT, null);
@@ -49,6 +59,7 @@
         return read(TomlDocument.read(path));
     }
 
+    /** Checks a parsed operator file, as {@link #read(Path)} does. */
     static OperatorConfiguration read(TomlDocument document) throws InvalidOperatorFileException {
         TomlDocument.Table rootTable = document.rootTable();
         TomlDocument.Table logTable = rootTable.readTable("log");
@@ -79,13 +90,17 @@
             table.addFault("most-age", "is malformed: expected a time longer than interval");
         }
         long maxFreshRosterAgeNanos = table.readDurationNanos("sure", "2s");
-        long maxMegabytes = table.readLong("most-megabytes", 16L, 1, 1024);
+        long maxMegabytes = table.readLong(
+                "most-megabytes",
+                DEFAULT_SIZE_LIMIT_MEGABYTES,
+                LOWEST_SIZE_LIMIT_MEGABYTES,
+                HIGHEST_SIZE_LIMIT_MEGABYTES);
         table.reportUnknownKeys();
         return new PersistenceConfiguration(
                 folder == null ? null : Path.of(folder),
                 intervalNanos,
                 maxAgeNanos,
-                maxMegabytes << 20,
+                maxMegabytes << MEGABYTE_SHIFT,
                 maxFreshRosterAgeNanos);
     }
 }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -42,16 +42,21 @@
      * watch and connections that are being refused.
      */
     private static final int RESERVED_DESCRIPTORS = 64;
+    /** The lowest valid value of limits.sockets: at least as many descriptors for connections as are reserved. */
+    private static final int MIN_SOCKETS = 2 * RESERVED_DESCRIPTORS;
     /** Value of limits.sockets if the configuration has none. */
     private static final int DEFAULT_MAX_SOCKETS = 1024;
     /** Goal time of messages, in nanoseconds, if the settings have none; adding times to it cannot overflow. */
     private static final long NO_MESSAGE_GOAL_TIME = Long.MAX_VALUE / 4;
 
-    /** A key is missing or malformed; the message names the first faulty key and what was expected. */
+    private static final int MAX_PORT = 65535;
+    private static final int NANOS_PER_MILLI = 1_000_000;
+
+    /** A key is missing or malformed; the message names the key and what was expected. */
     public static final class InvalidConfigurationException extends Exception {
         private static final long serialVersionUID = 1L;
         private final String key;
-        /** This fault and all that were found after it. */
+        /** In the exception that is thrown, which is the first fault: this fault and all that were found after it. */
         private final transient List<InvalidConfigurationException> allFaults = new ArrayList<>(List.of(this));
 
         InvalidConfigurationException(String key, String expected) {
@@ -64,6 +69,7 @@
     private static final class FaultCollector {
         private final List<InvalidConfigurationException> faults = new ArrayList<>();
 
+        /** Reads one value of the configuration. */
         private interface ValueReader<T> {
             T read() throws InvalidConfigurationException;
         }
@@ -161,8 +167,8 @@
         List<Long> cutOffs = new ArrayList<>();
         List<String> useCases = faults.readOrDefault(List.of(), () -> readNames(settings, "useCases"));
         for (int useCase = 0; useCase < useCases.size(); useCase++) {
-            String cutOff = "useCases." + useCase + ".cutOff";
-            cutOffs.add(faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, cutOff)));
+            String cutOffKey = "useCases." + useCase + ".cutOff";
+            cutOffs.add(faults.readOrDefault(0L, () -> (long) parseNumber(flatSettings, cutOffKey)));
         }
         long messageGoalTime = NO_MESSAGE_GOAL_TIME;
         for (String part :
@@ -189,19 +195,18 @@
         RosterMessage knownRoster = faults.readOrDefault(null, () -> {
             try {
                 return RosterMessage.decode(requireValue(
-                        valueOrDefault(json, "known", JsonObject.class, null, "a list of backends"),
+                        valueOrDefault(json, "known", JsonObject.class, null, "a roster, as an object"),
                         "known",
-                        "a list of backends"));
+                        "a roster, as an object"));
             } catch (IllegalArgumentException e) {
                 throw new InvalidConfigurationException("known", "is malformed: " + e.getMessage());
             }
         });
-        int maxSockets = faults.readOrDefault(2 * RESERVED_DESCRIPTORS, () -> {
+        int maxSockets = faults.readOrDefault(MIN_SOCKETS, () -> {
             int value = valueOrDefault(limits, "limits.sockets", Integer.class, DEFAULT_MAX_SOCKETS, "a whole number");
-            if (value < 2 * RESERVED_DESCRIPTORS) {
+            if (value < MIN_SOCKETS) {
                 throw new InvalidConfigurationException(
-                        "limits.sockets",
-                        "is too small: expected at least " + 2 * RESERVED_DESCRIPTORS + ", got " + value);
+                        "limits.sockets", "is too small: expected at least " + MIN_SOCKETS + ", got " + value);
             }
             return value;
         });
@@ -235,7 +240,7 @@
         return new RelayConfiguration(
                 name,
                 listenAddress,
-                (int) (connectTimeoutNanos / 1_000_000),
+                (int) (connectTimeoutNanos / NANOS_PER_MILLI),
                 new ConfiguredNames(useCases, tenants),
                 knownRoster,
                 reducerConfiguration);
@@ -259,16 +264,16 @@
     /**
      * Reads an address and port from the file or from an environment variable.
      *
-     * @param fileWins whether the file takes precedence if both have a value
+     * @param isFilePreferred whether the file takes precedence if both have a value
      */
     private static Address readAddress(
-            JsonObject json, String key, Map<String, String> environment, String variable, boolean fileWins)
+            JsonObject json, String key, Map<String, String> environment, String variable, boolean isFilePreferred)
             throws InvalidConfigurationException {
         String fileValue = valueOrDefault(json, key, String.class, null, "an address and port");
-        boolean fromFile = fileValue != null && (fileWins || !environment.containsKey(variable));
-        String source = fromFile ? key : variable;
-        String text = requireValue(fromFile ? fileValue : environment.get(variable), source, "an address and port");
-        if (!text.matches("[^:]+:\\d{1,5}") || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > 65535) {
+        boolean isFromFile = fileValue != null && (isFilePreferred || !environment.containsKey(variable));
+        String source = isFromFile ? key : variable;
+        String text = requireValue(isFromFile ? fileValue : environment.get(variable), source, "an address and port");
+        if (!text.matches("[^:]+:\\d{1,5}") || Integer.parseInt(text.substring(text.indexOf(':') + 1)) > MAX_PORT) {
             throw new InvalidConfigurationException(source, "is malformed: expected an address and port, got " + text);
         }
         int colon = text.lastIndexOf(':');
@@ -307,14 +312,15 @@
 
     /** Reads an array of names, or of objects with a `name`. Other settings refer to an entry by its index. */
     private static List<String> readNames(JsonObject settings, String key) throws InvalidConfigurationException {
-        return valueOrDefault(settings, "settings." + key, JsonArray.class, new JsonArray(), "a list").stream()
+        return valueOrDefault(settings, "settings." + key, JsonArray.class, new JsonArray(), "an array").stream()
                 .map(item -> String.valueOf(item instanceof JsonObject object ? object.getValue("name") : item))
                 .toList();
     }
 
     /**
      * Flattens nested settings to the form that the simulator uses: names joined by dots; arrays of values joined by
-     * commas; arrays of objects by index, with the array's length under `count`.
+     * commas; arrays of objects by index, with the array's length under `count`. {@link SettingsParser} then translates
+     * names and units.
      */
     private static void flatten(Object value, String path, Map<String, String> flatSettings) {
         if (value instanceof JsonObject object) {
--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -38,9 +38,14 @@
      * Time limit for ending open associations at shutdown. No client waits that long, and the platform kills sooner.
      */
     private static final long MAX_SHUTDOWN_SECONDS = 30;
-    /** Time between the reducer's Stop effect and the end of the JVM, in which the event loop can still write. */
+    /**
+     * Time between the end of the shutdown, last write of the state included, and the end of the JVM. The event loop
+     * needs it to write what is still buffered for clients and backends.
+     */
     private static final long STOP_DELAY_MILLIS = 200;
 
+    private static final int NANOS_PER_MILLI = 1_000_000;
+
     private final Vertx vertx;
     private final Context eventLoop;
     private final SocketManager socketManager;
@@ -58,7 +63,7 @@
      * Unix time minus the monotonic clock, in nanoseconds, read once at the start. The two clocks are related nowhere
      * else.
      */
-    private final long unixTimeOffsetNanos = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
+    private final long unixTimeOffsetNanos = System.currentTimeMillis() * NANOS_PER_MILLI - System.nanoTime();
 
     /** Persists the learned state and the roster; null if persistence is off. */
     private final StatePersister statePersister;
@@ -103,7 +108,7 @@
 
     /**
      * Starts a relay and returns; the relay runs until the process gets SIGTERM. The process ends with exit code 1 if
-     * the configuration is faulty, if another relay uses the state folder, or if the relay cannot listen.
+     * the configuration is faulty, if another relay uses the state directory, or if the relay cannot listen.
      *
      * @param persistence where and how to persist the state; null to not persist it
      */
@@ -229,13 +234,14 @@
                     execute(effect);
                 }
             } catch (RuntimeException e) {
-                // Without this, one event that fails would end the relay or block the events queued behind it.
+                // Without this handler, one event that fails would end the relay or block the events queued behind it.
                 Log.logFailure("event-failed", "handling an event failed", e);
             }
         }
         isHandlingEvents = false;
     }
 
+    /** Writes a message of the persistence package to the log. */
     static void log(LogMessage message) {
         Log.log(message.isWarning() ? Level.WARNING : Level.INFO, message.event(), message.text(), message.fields());
     }
@@ -250,7 +256,7 @@
         } else if (effect instanceof Effect.ScheduleTimer schedule) {
             vertx.cancelTimer(reducerTimer);
             reducerTimer = vertx.setTimer(
-                    Math.max(1, (schedule.time() - now() + 999_999) / 1_000_000), // rounded up to milliseconds
+                    Math.max(1, (schedule.time() - now() + (NANOS_PER_MILLI - 1)) / NANOS_PER_MILLI), // rounded up
                     t -> handleEvent(new Event.TimerFired()));
         } else if (effect instanceof Effect.WriteLog entry) {
             Log.log(Level.INFO, entry.event(), entry.text(), entry.fields());
@@ -267,7 +273,7 @@
 
     /**
      * The shutdown hook: requests the shutdown and waits until all accepted associations have ended, because the JVM
-     * ends when the hook returns.
+     * ends when the hook returns. Waits for {@link #MAX_SHUTDOWN_SECONDS} at most.
      */
     private void stop() {
         eventLoop.runOnContext(v -> handleEvent(new Event.ShutdownRequested()));
--- a/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
+++ b/relay/src/main/java/ambertrestle/relay/server/StatePersister.java
@@ -19,6 +19,16 @@
 final class StatePersister {
     /** Time limit for the last write at shutdown. */
     private static final long FINAL_WRITE_TIMEOUT_MILLIS = 1_000;
+    /** How often the state is written per durable.interval; see {@link #start}. */
+    private static final int WRITES_PER_INTERVAL = 2;
+    /** Delay after which a timer runs on a later turn of the event loop; the shortest that Vert.x accepts. */
+    private static final long NEXT_TURN_MILLIS = 1;
+
+    private static final int WRITER_THREADS = 1;
+    /** A write that takes longer is reported by Vert.x as a blocked thread. This class logs slow writes earlier. */
+    private static final long BLOCKED_WRITER_HOURS = 1;
+
+    private static final int NANOS_PER_MILLI = 1_000_000;
 
     private final Vertx vertx;
     private final StateStore stateStore;
@@ -31,7 +41,7 @@
     private StateChanges pendingChanges = new StateChanges();
     /** Parts of the learned state are being collected for the next write. */
     private boolean isCollecting;
-    /** How many parts {@link #add(LearnedState)} got so far. */
+    /** Number of calls of {@link #add(LearnedState)} so far. */
     private long receivedParts;
 
     private boolean isWriting;
@@ -64,7 +74,8 @@
         this.rosterWatcher = rosterWatcher;
         this.unixTimeOffsetNanos = unixTimeOffsetNanos;
         // A pool of its own: in the shared pool of Vert.x, a stalled disk would block all other blocking calls.
-        writerExecutor = vertx.createSharedWorkerExecutor("durable", 1, 1, TimeUnit.HOURS);
+        writerExecutor =
+                vertx.createSharedWorkerExecutor("durable", WRITER_THREADS, BLOCKED_WRITER_HOURS, TimeUnit.HOURS);
     }
 
     /**
@@ -72,8 +83,7 @@
      * file is then no older than one interval even while a write is in progress.
      */
     void start() {
-        // Half an interval, in milliseconds.
-        vertx.setPeriodic(Math.max(1, intervalNanos / 2_000_000), t -> beginPersist());
+        vertx.setPeriodic(Math.max(1, intervalNanos / (WRITES_PER_INTERVAL * NANOS_PER_MILLI)), t -> beginPersist());
         beginPersist();
     }
 
@@ -104,7 +114,7 @@
         receivedParts++;
         pendingChanges.add(part);
         if (part.hasMore()) {
-            vertx.setTimer(1, t -> requestNextPart());
+            vertx.setTimer(NEXT_TURN_MILLIS, t -> requestNextPart());
         } else {
             isCollecting = false;
             write();
@@ -161,10 +171,13 @@
         isFinalWritePending = true;
         // On a later turn of the event loop: the reducer's event that led here is still being handled, and no part of
         // the learned state arrives before it is finished.
-        vertx.setTimer(1, t -> continueStop());
+        vertx.setTimer(NEXT_TURN_MILLIS, t -> continueStop());
     }
 
-    /** Starts the last write, or runs {@link #onStopped} if that is finished. Waits while one goes on. */
+    /**
+     * Continues a shutdown: begins the last write or, if it has finished, runs {@link #onStopped}. Does nothing while
+     * parts are being collected or written, because the end of that write calls this method again.
+     */
     private void continueStop() {
         if (isWriting || isCollecting) {
             return;
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -25,6 +25,16 @@
     /** What {@link #parseDurationNanos} returns for a text that is not a duration. */
     private static final long INVALID_DURATION = Long.MIN_VALUE;
 
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MINUTE = 60e9;
+    private static final double NANOS_PER_HOUR = 3600e9;
+    /** Whole numbers below this magnitude are written without a fraction, larger ones in scientific notation. */
+    private static final double SCIENTIFIC_NOTATION_LIMIT = 1e15;
+    /** Words that differ by so many letters are similar even if they are short. */
+    private static final int MIN_SIMILAR_DISTANCE = 2;
+
     private final String file;
     private final List<Fault> faults = new ArrayList<>();
     private final TomlTable root;
@@ -45,7 +55,8 @@
 
     /**
      * One table of the file. In all methods that read a value, a null default makes the key required: if it is absent,
-     * a fault is recorded and the method returns null, or 0 for numbers. Bounds are inclusive.
+     * a fault is recorded and the method returns null, or 0 for numbers. A malformed value of a required key yields the
+     * same, except that {@link #readLong} and {@link #readDouble} return the lower bound. Bounds are inclusive.
      */
     public final class Table {
         private final TomlTable table;
@@ -59,6 +70,7 @@
             this.path = path;
         }
 
+        /** Returns whether the table has this key, which counts as known from then on. */
         public boolean has(String key) {
             requestedKeys.add(key);
             return table.get(List.of(key)) != null;
@@ -85,11 +97,13 @@
             return word;
         }
 
+        /** Reads true or false. */
         public boolean readBoolean(String key, boolean defaultValue) {
             Object value = readValue(key, defaultValue);
             return value instanceof Boolean flag ? flag : reportMalformed(key, value, defaultValue, "true or false");
         }
 
+        /** Reads a whole number from `min` to `max`. */
         public long readLong(String key, Long defaultValue, long min, long max) {
             Object value = readValue(key, defaultValue);
             if (value == null) {
@@ -102,6 +116,7 @@
                     key, value, defaultValue == null ? min : defaultValue, "a whole number from " + min + " to " + max);
         }
 
+        /** Reads a number from `min` to `max`, with or without a fraction. */
         public double readDouble(String key, Double defaultValue, double min, double max) {
             Object value = readValue(key, defaultValue);
             if (value == null) {
@@ -186,7 +201,7 @@
                     message));
         }
 
-        /** The smallest line number of the table's keys; 1 if it has none. */
+        /** The smallest line number of the table's keys; 1 if it has none. The header of a table has no position. */
         private int firstLine() {
             return table.keySet().stream()
                     .sorted()
@@ -262,6 +277,7 @@
         return document;
     }
 
+    /** Returns the table of the top-level keys. */
     public Table rootTable() {
         return new Table(root, "");
     }
@@ -273,7 +289,7 @@
         return Collections.unmodifiableList(sorted);
     }
 
-    /** Converts a duration to nanoseconds; returns INVALID_DURATION for any other text. */
+    /** Converts a duration to nanoseconds; returns {@link #INVALID_DURATION} for any other text. */
     private static long parseDurationNanos(String text) {
         java.util.regex.Matcher matcher = java.util.regex.Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)")
                 .matcher(text);
@@ -282,27 +298,27 @@
         }
         double unit =
                 switch (matcher.group(2)) {
-                    case "us" -> 1e3;
-                    case "ms" -> 1e6;
-                    case "s" -> 1e9;
-                    case "m" -> 60e9;
-                    default -> 3600e9;
+                    case "us" -> NANOS_PER_MICRO;
+                    case "ms" -> NANOS_PER_MILLI;
+                    case "s" -> NANOS_PER_SECOND;
+                    case "m" -> NANOS_PER_MINUTE;
+                    default -> NANOS_PER_HOUR;
                 };
         return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
-    /** The number without a fraction if it has none. */
+    /** Returns the number as text, with a fraction only if it has one. */
     private static String formatNumber(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
+        return value == Math.rint(value) && Math.abs(value) < SCIENTIFIC_NOTATION_LIMIT
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    /** A clause that names the most similar candidate; empty if none is similar. */
+    /** Returns a clause that names the most similar candidate, or an empty text if none is similar. */
     private static String suggestNearest(String word, Collection<String> candidates) {
         String nearest = null;
-        // Similar: at most half of the word's letters differ, or 2 letters of a short word.
-        int smallestDistance = Math.max(2, word.length() / 2) + 1;
+        // A candidate is similar if at most half of the word's letters differ, or MIN_SIMILAR_DISTANCE of a short word.
+        int smallestDistance = Math.max(MIN_SIMILAR_DISTANCE, word.length() / 2) + 1;
         for (String candidate : candidates) {
             int distance = editDistance(word, candidate);
             if (distance < smallestDistance) {
@@ -313,7 +329,9 @@
         return nearest == null ? "" : "; the nearest known is " + nearest;
     }
 
-    /** The Levenshtein distance. */
+    /**
+     * The Levenshtein distance: how many letters must be inserted, deleted or replaced to turn one word into the other.
+     */
     private static int editDistance(String from, String to) {
         int[] row = new int[to.length() + 1];
         for (int j = 0; j <= to.length(); j++) {
--- a/relay/src/main/java/ambertrestle/simhost/Instance.java
+++ b/relay/src/main/java/ambertrestle/simhost/Instance.java
@@ -8,12 +8,17 @@
 import java.util.HashMap;
 import java.util.PriorityQueue;
 
-/** One simulated relay: its balancer, its associations and its timer. Times in nanoseconds of the simulated clock. */
+/**
+ * One simulated relay: its balancer, its associations and its timer. Times are in nanoseconds of the simulated clock.
+ */
 final class Instance {
     /** An association that waits until a time; `sequence` breaks ties in the order in which the waits began. */
     private record DelayedAssociation(long resumeAt, long sequence, Association association) {}
 
+    private static final int NANOS_PER_MICRO = 1000;
+
     final int number;
+    /** The associations that are not over, by id. */
     final HashMap<Long, Association> associations = new HashMap<>();
     /** Null if the instance's settings were invalid; it is crashed then. */
     Balancer balancer;
@@ -50,7 +55,7 @@
      * @param dispatch index of the dispatch among those of the association, from 0
      * @param isFinished whether the association is over; if not, the balancer selects what to do next
      */
-    void onAttemptFinished(long id, int dispatch, DispatchOutcome outcome, boolean isFinished, long now) {
+    void onDispatchFinished(long id, int dispatch, DispatchOutcome outcome, boolean isFinished, long now) {
         Association association = associations.get(id);
         if (association == null) {
             return;
@@ -61,6 +66,7 @@
         }
     }
 
+    /** The client is gone. */
     void onClientLeft(long id, long now) {
         Association association = associations.remove(id);
         if (association != null) {
@@ -68,7 +74,7 @@
         }
     }
 
-    /** The timer fired. What is due then is done at the end of the batch. */
+    /** The timer fired. {@link #onBatchFinished} then executes what is due. */
     void onTimer(long now) {
         if (nextTimerAt <= now) {
             nextTimerAt = Long.MAX_VALUE;
@@ -78,10 +84,11 @@
     /** Writes the balancer's decision to the reply, or lets the association wait. */
     private void execute(Association association, Decision decision, long now) {
         switch (decision.kind) {
-            case SEND -> reply.addDispatch(number, association.id, decision.backend, decision.time / 1000);
+            case SEND -> reply.addDispatch(number, association.id, decision.backend, decision.time / NANOS_PER_MICRO);
             case WAIT -> delayedAssociations.add(new DelayedAssociation(decision.time, nextSequence++, association));
             case SHED -> {
-                reply.addRecordWithLongAndInt(WireFormat.PUSH_BACK, number, association.id, decision.time / 1000);
+                reply.addRecordWithLongAndInt(
+                        WireFormat.PUSH_BACK, number, association.id, decision.time / NANOS_PER_MICRO);
                 associations.remove(association.id);
             }
             case FORFEIT -> {
@@ -123,11 +130,13 @@
                 : Math.min(dueActions.wakeAt, delayedAssociations.peek().resumeAt);
         if (wakeAt < nextTimerAt) {
             nextTimerAt = wakeAt;
-            reply.addRecordWithLongAndInt(WireFormat.SET_TIMER, number, (wakeAt + 999) / 1000, 0);
+            // Rounded up to microseconds.
+            reply.addRecordWithLongAndInt(
+                    WireFormat.SET_TIMER, number, (wakeAt + (NANOS_PER_MICRO - 1)) / NANOS_PER_MICRO, 0);
         }
     }
 
-    /** Reports the exception, with its first stack frame, to the simulator and stops handling events. */
+    /** Reports the exception, with its first stack frame, to the simulator. From then on, events are ignored. */
     void reportCrash(RuntimeException failure) {
         isCrashed = true;
         StackTraceElement[] stackTrace = failure.getStackTrace();
--- a/relay/src/main/java/ambertrestle/simhost/SimHost.java
+++ b/relay/src/main/java/ambertrestle/simhost/SimHost.java
@@ -17,13 +17,19 @@
 
 /**
  * Runs balancers in the simulator: reads batches of events, passes the events to the balancers of the instances that
- * they name, and writes one reply of actions per batch. All decisions are the balancers'.
+ * they name, and writes one reply of actions per batch. Makes no decisions of its own.
  */
 public final class SimHost {
     private static final DispatchOutcome[] OUTCOMES = DispatchOutcome.values();
     private static final RosterEntry.Stage[] STAGES = RosterEntry.Stage.values();
     /** The simulator counts microseconds, the balancer nanoseconds. */
     private static final int NANOS_PER_MICRO = 1000;
+    /**
+     * The simulator gives loads in microseconds of work per second, the balancer takes nanoseconds of work per second.
+     */
+    private static final double WORK_NANOS_PER_MICRO = 1000.0;
+    /** The simulator gives delays of backends in milliseconds. */
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private static final int LENGTH_FIELD_BYTES = 4;
     private static final int INITIAL_FRAME_BYTES = 1 << 16;
@@ -36,7 +42,7 @@
 
     /** The load is known. */
     private static final int FLAG_LOAD = 1;
-    /** Packets of the open connection reached this relay. */
+    /** The connection was already open when its packets first reached this relay. */
     private static final int FLAG_MID_FLOW = 8;
     /** The client reconnects after a break or a move. */
     private static final int FLAG_RECONNECT = 16;
@@ -67,6 +73,7 @@
     private ByteBuffer frame = allocateBuffer(INITIAL_FRAME_BYTES);
     private final byte[] lengthField = new byte[LENGTH_FIELD_BYTES];
 
+    /** Creates a host that reads batches from `in` and writes replies to `out`. */
     public SimHost(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
@@ -166,7 +173,10 @@
         batchInstances.clear();
     }
 
-    /** Handles the selected record. The numbers passed to the batch are offsets of fields in the record. */
+    /**
+     * Handles the selected record. The numbers passed to the batch are offsets of fields, which {@link WireFormat}
+     * lists for each event.
+     */
     private void handleRecord(WireFormat.Batch batch, int event, Instance instance, long now) {
         Balancer balancer = instance.balancer;
         switch (event) {
@@ -176,7 +186,7 @@
             }
             case WireFormat.ARRIVAL -> {
                 int flags = batch.u8(45);
-                // Id, use case, tenant, client key, group key, cut-off, load (work per second), mid-flow, reconnect.
+                // Id, use case, tenant, client key, group key, cut-off, load, mid-flow, reconnect.
                 instance.onArrival(
                         new Association(
                                 batch.u64(3),
@@ -185,7 +195,7 @@
                                 batch.u64(17),
                                 batch.u64(37),
                                 batch.u64(25) * NANOS_PER_MICRO,
-                                (flags & FLAG_LOAD) != 0 ? batch.u32(33) * 1000.0 : 0,
+                                (flags & FLAG_LOAD) != 0 ? batch.u32(33) * WORK_NANOS_PER_MICRO : 0,
                                 (flags & FLAG_MID_FLOW) != 0,
                                 (flags & FLAG_RECONNECT) != 0),
                         now);
@@ -200,26 +210,24 @@
                         batch.u64(29),
                         batch.u64(21),
                         batch.u64(11) * NANOS_PER_MICRO,
-                        (flags & FLAG_LOAD) != 0 ? batch.u32(47) * 1000.0 : 0,
+                        (flags & FLAG_LOAD) != 0 ? batch.u32(47) * WORK_NANOS_PER_MICRO : 0,
                         (flags & FLAG_MID_FLOW) != 0,
                         (flags & FLAG_RECONNECT) != 0);
                 instance.associations.put(association.id, association);
                 balancer.onConnectionAdopted(association, batch.backendId(37), now);
             }
             case WireFormat.FIRED -> instance.onTimer(now);
-            case WireFormat.SETTLED -> instance.onAttemptFinished(
+            case WireFormat.SETTLED -> instance.onDispatchFinished(
                     batch.u64(3), batch.u8(12), decodeOutcome(batch, 19), batch.u8(11) != 0, now);
             case WireFormat.DISCOVERY -> handleRoster(batch, balancer, now);
             case WireFormat.UPDATE_OF -> {
                 Association association = instance.associations.get(batch.u64(3));
                 if (batch.u8(18) == LOAD_REPORT) {
                     if (association != null) {
-                        // Microseconds of work per second, passed on as nanoseconds per second.
-                        balancer.onLoadReport(association, batch.f32(19) * 1000.0, now);
+                        balancer.onLoadReport(association, batch.f32(19) * WORK_NANOS_PER_MICRO, now);
                     }
                 } else if (batch.u8(18) == DELAY_REPORT) {
-                    // Milliseconds, passed on as nanoseconds.
-                    balancer.onDelayReport(batch.backendId(12), (long) (batch.f32(19) * 1e6), now);
+                    balancer.onDelayReport(batch.backendId(12), (long) (batch.f32(19) * NANOS_PER_MILLI), now);
                 }
             }
             case WireFormat.EXPIRED -> instance.onClientLeft(batch.u64(3), now);
--- a/relay/src/main/java/ambertrestle/simhost/WireFormat.java
+++ b/relay/src/main/java/ambertrestle/simhost/WireFormat.java
@@ -7,9 +7,9 @@
 
 /**
  * The simulator's binary protocol, with all numbers little-endian. A batch has event records of {@link #EVENT_BYTES}
- * and a reply has action records of {@link #ACTION_BYTES}. Each record starts with its code (one byte) and the number
- * of the instance (two bytes). Values of variable length are in the tail, after the records; a field of 8 bytes refers
- * to them by their offset in the tail and the number of items.
+ * and a reply has action records of {@link #ACTION_BYTES}. Each record starts with its code (1 byte) and the number of
+ * the simulated relay, the instance (2 bytes). Values of variable length are in the tail, after the records; a field of
+ * 8 bytes refers to them by their offset in the tail and the number of items.
  */
 final class WireFormat {
     /** Size of an event record. */
@@ -19,31 +19,44 @@
     /** Size of a roster entry in the tail of a batch. */
     static final int ROSTER_ENTRY_BYTES = 25;
 
-    // Codes of events.
+    // Codes of events. The fields of their records are listed as offset and name; ids and keys have 8 bytes.
 
     /** The instance ends. */
     static final int STOP = 0;
-    /** A client requests an association. */
+    /**
+     * A client requests an association: 3 id, 11 use case (2 bytes), 13 tenant (4), 17 client key, 25 cut-off in
+     * microseconds (8), 33 load in microseconds of work per second (4), 37 group key, 45 flags (1).
+     */
     static final int ARRIVAL = 1;
     /** The instance's timer fired. */
     static final int FIRED = 2;
     /** The result of a probe; ignored. */
     static final int HEALTH = 3;
-    /** A dispatch ended. */
+    /**
+     * A dispatch ended: 3 association, 11 whether the association is over (1), 12 index of the dispatch (1), 19 outcome
+     * (1).
+     */
     static final int SETTLED = 4;
-    /** A roster update, or the failure of a call to the roster service. */
+    /** A roster update, or the failure of a call to the roster service: 3 kind (1), 8 entries in the tail (8). */
     static final int DISCOVERY = 5;
-    /** A report of a connection's load or of a backend's delay. */
+    /**
+     * A report of a connection's load or of a backend's delay: 3 association, 12 backend (6), 18 kind (1), 19 value as
+     * a floating-point number (4), in microseconds of work per second or in milliseconds.
+     */
     static final int UPDATE_OF = 6;
-    /** The client is gone. */
+    /** The client is gone: 3 association. */
     static final int EXPIRED = 7;
-    /** A connection is established. */
+    /** A connection is established: 3 association, 11 set-up time in microseconds (4), 21 index of the dispatch (1). */
     static final int ESTABLISHED = 8;
-    /** The instance took over an open connection that existed before the instance started. */
+    /**
+     * The instance took over an open connection that existed before the instance started: 3 id, 11 cut-off in
+     * microseconds (8), 19 use case (2), 21 group key, 29 client key, 37 backend (6), 43 tenant (4), 47 load in
+     * microseconds of work per second (4), 51 flags (1).
+     */
     static final int TAKEN_OVER = 9;
     /** A message from another instance; ignored. */
     static final int FROM_PEER = 10;
-    /** The instance starts, with its seed and settings. */
+    /** The instance starts: 3 seed (8), 11 settings in the tail (8). */
     static final int UP = 11;
 
     // Codes of actions.
@@ -77,6 +90,14 @@
 
     /** Size of a batch's header: the clock in microseconds (8 bytes) and the number of records (4 bytes). */
     private static final int BATCH_HEADER_BYTES = 12;
+    /** Position of the number of records in a batch's header. */
+    private static final int BATCH_COUNT_OFFSET = 8;
+    /** Position of the number of items in a field that refers to the tail; the first 4 bytes are the offset. */
+    private static final int TAIL_COUNT_OFFSET = 4;
+    /** Size of a backend's address. */
+    private static final int ADDRESS_BYTES = 4;
+    /** Size of a backend's address and port. */
+    private static final int BACKEND_ID_BYTES = 6;
 
     private WireFormat() {}
 
@@ -101,7 +122,7 @@
         Batch(ByteBuffer bytes) {
             this.bytes = bytes;
             clockUs = bytes.getLong(0);
-            long count = bytes.getInt(8) & 0xffffffffL;
+            long count = bytes.getInt(BATCH_COUNT_OFFSET) & 0xffffffffL;
             if (BATCH_HEADER_BYTES + count * EVENT_BYTES > bytes.limit()) {
                 throw new WireFormatException("batch at clock " + clockUs + " announces " + count
                         + " records but has only " + (bytes.limit() - BATCH_HEADER_BYTES) / EVENT_BYTES);
@@ -146,9 +167,9 @@
             return backendIdAt(recordOffset + offset);
         }
 
-        /** The same for a position in {@link #bytes} instead of a field of the record. */
+        /** Reads a backend's id from a position in {@link #bytes}. */
         long backendIdAt(int position) {
-            return (bytes.getInt(position) & 0xffffffffL) | (bytes.getShort(position + 4) & 0xffffL) << 32;
+            return (bytes.getInt(position) & 0xffffffffL) | (bytes.getShort(position + ADDRESS_BYTES) & 0xffffL) << 32;
         }
 
         /**
@@ -157,7 +178,7 @@
          */
         int tailOffset(int offset, int itemBytes) {
             long start = u32(offset);
-            long end = start + u32(offset + 4) * itemBytes;
+            long end = start + u32(offset + TAIL_COUNT_OFFSET) * itemBytes;
             if (tailStart + end > bytes.limit()) {
                 throw new WireFormatException(describePosition() + " refers to tail bytes " + start + " to " + end
                         + " but the tail holds " + (bytes.limit() - tailStart));
@@ -168,7 +189,7 @@
         /** Copies the bytes to which a field refers. */
         byte[] tailBytes(int offset) {
             int from = tailOffset(offset, 1);
-            byte[] copy = new byte[i32(offset + 4)];
+            byte[] copy = new byte[i32(offset + TAIL_COUNT_OFFSET)];
             bytes.get(from, copy);
             return copy;
         }
@@ -186,6 +207,15 @@
         private static final int INITIAL_TAIL_BYTES = 256;
         /** Offset of the first field after a record's code and instance number. */
         private static final int FIRST_FIELD = 3;
+        /** Offset of the second field if the first has 8 bytes. */
+        private static final int FIELD_AFTER_LONG = FIRST_FIELD + Long.BYTES;
+        /** Offset of a dispatch's time limit, after its association and backend. */
+        private static final int DISPATCH_TIMEOUT = FIELD_AFTER_LONG + BACKEND_ID_BYTES;
+        /** Offset of the message in {@link #PUBLISH}, after its receiver. */
+        private static final int PEER_MESSAGE = FIRST_FIELD + Integer.BYTES;
+        /** The receiver of a message to all other instances. */
+        private static final int ALL_INSTANCES = -1;
+
         /** Size of the reply's header: the number of records and the size of records and tail, 4 bytes each. */
         private static final int REPLY_HEADER_BYTES = 8;
 
@@ -247,15 +277,15 @@
         void addRecordWithLongAndInt(int code, int instance, long value, long intValue) {
             startRecord(code, instance)
                     .putLong(lastRecordStart() + FIRST_FIELD, value)
-                    .putInt(lastRecordStart() + 11, (int) intValue);
+                    .putInt(lastRecordStart() + FIELD_AFTER_LONG, (int) intValue);
         }
 
         /** Adds a dispatch of an association to a backend, with its time limit in microseconds. */
         void addDispatch(int instance, long associationId, long backendId, long timeoutUs) {
             startRecord(HAND_OFF, instance)
                     .putLong(lastRecordStart() + FIRST_FIELD, associationId)
-                    .putInt(lastRecordStart() + 17, (int) timeoutUs);
-            putBackendId(11, backendId);
+                    .putInt(lastRecordStart() + DISPATCH_TIMEOUT, (int) timeoutUs);
+            putBackendId(FIELD_AFTER_LONG, backendId);
         }
 
         /** Adds a record whose field at that offset refers to these bytes in the tail. */
@@ -264,14 +294,14 @@
                 tail = growBuffer(tail, tail.capacity() * 2);
             }
             startRecord(code, instance).putInt(lastRecordStart() + fieldOffset, tail.position());
-            records.putInt(lastRecordStart() + fieldOffset + 4, bytes.length);
+            records.putInt(lastRecordStart() + fieldOffset + TAIL_COUNT_OFFSET, bytes.length);
             tail.put(bytes);
         }
 
-        /** Adds a message to all other instances: the receiver is -1. */
+        /** Adds a message to all other instances. */
         void addPeerMessage(int instance, byte[] bytes) {
-            addRecordWithBytes(PUBLISH, instance, 7, bytes);
-            records.putInt(lastRecordStart() + FIRST_FIELD, -1);
+            addRecordWithBytes(PUBLISH, instance, PEER_MESSAGE, bytes);
+            records.putInt(lastRecordStart() + FIRST_FIELD, ALL_INSTANCES);
         }
 
         void addRecordWithText(int code, int instance, String text) {
@@ -280,7 +310,7 @@
 
         private void putBackendId(int offset, long backendId) {
             records.putInt(lastRecordStart() + offset, (int) backendId);
-            records.putShort(lastRecordStart() + offset + 4, (short) (backendId >>> 32));
+            records.putShort(lastRecordStart() + offset + ADDRESS_BYTES, (short) (backendId >>> 32));
         }
 
         /** Returns the reply as bytes: its header, the records and the tail. */
