--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** The commands of the daemon, with their output and exit codes. */
 class CliTest {
     private static final Path SHIPPED_CONFIGURATION = Path.of("..", "deploy", "rehearsal.json");
 
@@ -54,6 +55,7 @@
                         .encode());
     }
 
+    /** Scripts tell wrong usage from faulty input by the exit code. */
     @Test
     void exitsWithZeroOnHelpAndVersionAndTwoOnWrongUsage() {
         assertThat(run("--help")).isZero();
@@ -65,6 +67,7 @@
         assertThat(run("check", "--config")).isEqualTo(2);
     }
 
+    /** A renamed or newly required key must also be changed in the files under `deploy`. */
     @Test
     void checkAcceptsShippedFiles() {
         assertThat(run(
@@ -98,6 +101,7 @@
                         operator + ":5: lgo is not known; the nearest known is log");
     }
 
+    /** After a syntax error no key can be read, so the line is all that leads the operator to it. */
     @Test
     void checkReportsLineOfSyntaxError() throws Exception {
         Path config = writeFile("config.json", "{\"name\": \"a\",\n\"seed\" \"1\"}");
@@ -133,6 +137,7 @@
         assertThat(err.toString()).contains("rules.askWithin is not a number: soon");
     }
 
+    /** The output has one line per key, in the order of the keys, and equal keys get the same backend. */
     @Test
     void placePrintsBackendThatFreshRelaysSelect() throws Exception {
         Path roster = writeRoster(20, "in_service");
@@ -154,7 +159,7 @@
 
     /**
      * The placement of a key must not depend on the keys placed before it, nor on the seed. It would if the preview
-     * kept state of earlier keys, such as their pins or connections; `place` would then print other backends than
+     * retained state of earlier keys, such as their pins or connections; `place` would then print other backends than
      * relays use.
      */
     @Test
@@ -172,6 +177,7 @@
         }
     }
 
+    /** A malformed key or roster must be reported; otherwise the printed placements would look valid. */
     @Test
     void placePrintsDashWithoutBackendAndRejectsMalformedKey() throws Exception {
         Path emptyRoster = writeRoster(0, "in_service");
@@ -200,6 +206,7 @@
         assertThat(err.toString()).contains("is not a valid roster: status of s-1 is not known");
     }
 
+    /** A relay that ignored the faults would run with defaults, such as without persistence. */
     @Test
     void serveRejectsFaultyOperatorFileBeforeStart() throws Exception {
         Path operator = writeFile("operator.toml", "[log]\nformat = 3\n");
--- a/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
+++ b/relay/src/test/java/ambertrestle/cli/StateCommandTest.java
@@ -72,6 +72,7 @@
         }
     }
 
+    /** Scripts compare these labels, and keys of pins are printed unsigned. */
     @Test
     void verifiesAndShowsValidFile() throws Exception {
         Path file = writeStateFile(StateFileCodec.encode(sampleSnapshot()));
@@ -85,6 +86,7 @@
                 .contains("fffffffffffffff9 a                        open");
     }
 
+    /** A damaged file must not be printed in part, which would look like a smaller state. */
     @Test
     void reportsTruncatedFileWithReasonAndExitCodeOne() throws Exception {
         byte[] complete = StateFileCodec.encode(sampleSnapshot());
@@ -98,6 +100,7 @@
         assertThat(run("state")).isEqualTo(2);
     }
 
+    /** A value that is out of range must be reported with its line, not replaced by a default. */
     @Test
     void reportsEachFaultyKeyOfDurableTable() throws Exception {
         assertThat(faultsOfDurableTable("interval = \"1s\"\n")).containsExactly("2: durable.folder is missing");
--- a/relay/src/test/java/ambertrestle/relay/persistence/FaultyStorage.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/FaultyStorage.java
@@ -25,18 +25,21 @@
     long capacityBytes = Long.MAX_VALUE;
 
     /** Whether the file system is mounted read-only. */
-    boolean readOnly;
+    boolean isReadOnly;
 
+    /** Whether {@link #lock} fails because another relay holds the lock. */
     boolean isLockedByOtherRelay;
 
+    /** Uses one unit of work; kills the process if none is left. */
     private void consumeUnit() {
         if (unitsBeforeKill-- <= 0) {
             throw new ProcessKilledException();
         }
     }
 
+    /** Records a step, or fails or kills the process in its place. */
     private void runStep(String name) throws IOException {
-        if (readOnly) {
+        if (isReadOnly) {
             throw new IOException("Read-only file system");
         }
         consumeUnit();
@@ -45,7 +48,7 @@
 
     @Override
     public void lock() throws IOException {
-        if (readOnly) {
+        if (isReadOnly) {
             throw new IOException("Read-only file system");
         }
         if (isLockedByOtherRelay) {
@@ -75,7 +78,7 @@
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-        if (readOnly) {
+        if (isReadOnly) {
             throw new IOException("Read-only file system");
         }
         files.put(name, new byte[0]);
--- a/relay/src/test/java/ambertrestle/relay/persistence/RecoveryTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/RecoveryTest.java
@@ -12,7 +12,9 @@
 
 /** Which roster and learned state a relay starts with, and when its start-up has converged. */
 class RecoveryTest {
+    /** In nanoseconds. */
     private static final long MAX_FRESH_ROSTER_AGE = 2 * SECOND;
+
     private static final RosterMessage EMPTY_ROSTER = TestSnapshots.roster(0, true);
 
     private static InitialState recover(RosterMessage configuredRoster, StateSnapshot snapshot) {
--- a/relay/src/test/java/ambertrestle/relay/persistence/SnapshotDirectoryTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/SnapshotDirectoryTest.java
@@ -18,7 +18,15 @@
 
 /** Each test injects one kind of disk fault and checks what the next process restores. */
 class SnapshotDirectoryTest {
+    /** The maximum age of state files in nanoseconds. */
     private static final long DAY = 86_400 * SECOND;
+    /** The maximum size of state files. */
+    private static final int MAX_BYTES = 1 << 20;
+    /** Positions of the format version, the checksum and what follows it in a state file. */
+    private static final int VERSION_OFFSET = 8;
+
+    private static final int CHECKSUM_OFFSET = 24;
+    private static final int CHECKSUM_END = 28;
 
     @TempDir
     private Path directory;
@@ -26,19 +34,21 @@
     private final FaultyStorage storage = new FaultyStorage();
 
     private SnapshotDirectory openDirectory() throws IOException {
-        SnapshotDirectory snapshots = new SnapshotDirectory(storage, "r", DAY, 1 << 20);
+        SnapshotDirectory snapshots = new SnapshotDirectory(storage, "r", DAY, MAX_BYTES);
         snapshots.readNewest(NOW);
         return snapshots;
     }
 
     private SnapshotDirectory.ReadResult readNewest() throws IOException {
-        return new SnapshotDirectory(storage, "r", DAY, 1 << 20).readNewest(NOW);
+        return new SnapshotDirectory(storage, "r", DAY, MAX_BYTES).readNewest(NOW);
     }
 
+    /** Writes one generation as a new process would do, after it has read the directory. */
     private void persist(int marker) throws IOException {
         openDirectory().writeGeneration(StateFileCodec.encode(TestSnapshots.takenAt(NOW - SECOND, marker)));
     }
 
+    /** Returns the marker of the snapshot that was read; see {@link TestSnapshots#takenAt}. */
     private static int marker(SnapshotDirectory.ReadResult result) {
         return (int) result.snapshot().learnedState().relayStatistics().completedConnections();
     }
@@ -112,7 +122,7 @@
     @Test
     void readsFromReadOnlyDirectory() throws IOException {
         persist(1);
-        storage.readOnly = true;
+        storage.isReadOnly = true;
         assertThatThrownBy(() -> persist(2)).hasMessageContaining("Read-only");
         assertThat(marker(readNewest())).isEqualTo(1);
     }
@@ -159,11 +169,11 @@
     void rejectsFileOfNewerVersionWithoutDeletingIt() throws Exception {
         persist(1);
         byte[] newerFile = StateFileCodec.encode(TestSnapshots.takenAt(NOW, 2));
-        ByteBuffer.wrap(newerFile).putInt(8, StateFileCodec.VERSION + 1);
+        ByteBuffer.wrap(newerFile).putInt(VERSION_OFFSET, StateFileCodec.VERSION + 1);
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-        crc.update(newerFile, 0, 24);
-        crc.update(newerFile, 28, newerFile.length - 28);
-        ByteBuffer.wrap(newerFile).putInt(24, (int) crc.getValue());
+        crc.update(newerFile, 0, CHECKSUM_OFFSET);
+        crc.update(newerFile, CHECKSUM_END, newerFile.length - CHECKSUM_END);
+        ByteBuffer.wrap(newerFile).putInt(CHECKSUM_OFFSET, (int) crc.getValue());
         storage.files.put("state-000000000000000007", newerFile);
         assertThat(marker(readNewest())).isEqualTo(1);
         assertThat(readNewest().rejectedFiles()).singleElement().satisfies(rejected -> assertThat(rejected.cause())
@@ -209,7 +219,7 @@
         assertThat(readNewest().rejectedFiles())
                 .singleElement()
                 .satisfies(rejected -> assertThat(rejected.cause().reason).isEqualTo(RejectionReason.TOO_OLD));
-        storage.files.put("state-000000000000000002", new byte[(1 << 20) + 1]);
+        storage.files.put("state-000000000000000002", new byte[MAX_BYTES + 1]);
         assertThat(readNewest().rejectedFiles()).hasSize(2).first().satisfies(rejected -> assertThat(
                         rejected.cause().reason)
                 .isEqualTo(RejectionReason.TOO_LARGE));
@@ -232,7 +242,7 @@
     // ---- StateStore
 
     private PersistenceConfiguration configuration() {
-        return new PersistenceConfiguration(directory, SECOND, DAY, 1 << 20, 2 * SECOND);
+        return new PersistenceConfiguration(directory, SECOND, DAY, MAX_BYTES, 2 * SECOND);
     }
 
     /** Two relays that use one directory would delete each other's state files. */
@@ -278,10 +288,10 @@
     void logsFailureOnceAndRecoveryOnce() throws Exception {
         StateStore store = StateStore.open(storage, configuration(), "r", new ArrayList<>());
         store.restore(NOW, new ArrayList<>());
-        storage.readOnly = true;
+        storage.isReadOnly = true;
         assertThat(store.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-not-kept");
         assertThat(store.persist(new StateChanges(), null, 0, NOW)).isNull();
-        storage.readOnly = false;
+        storage.isReadOnly = false;
         assertThat(store.persist(new StateChanges(), null, 0, NOW).event()).isEqualTo("state-kept-again");
         assertThat(store.persist(new StateChanges(), null, 0, NOW)).isNull();
     }
@@ -289,11 +299,11 @@
     /** A relay that could not lock its directory at start-up must not write once another relay holds the lock. */
     @Test
     void writesOnlyAfterDirectoryIsLocked() throws Exception {
-        storage.readOnly = true;
+        storage.isReadOnly = true;
         List<LogMessage> logMessages = new ArrayList<>();
         StateStore store = StateStore.open(storage, configuration(), "r", logMessages);
         assertThat(logMessages).extracting(LogMessage::event).containsExactly("state-not-kept");
-        storage.readOnly = false;
+        storage.isReadOnly = false;
         storage.isLockedByOtherRelay = true;
         assertThat(store.persist(new StateChanges(), null, 0, NOW))
                 .as("the failure was logged before")
--- a/relay/src/test/java/ambertrestle/relay/persistence/StateFileCodecTest.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/StateFileCodecTest.java
@@ -20,6 +20,11 @@
 
 /** Round trips of arbitrary snapshots, and decoding of arbitrary bytes. */
 class StateFileCodecTest {
+    /** Positions of the checksum and of what follows it in a state file. */
+    private static final int CHECKSUM_OFFSET = 24;
+
+    private static final int CHECKSUM_END = 28;
+
     private static final Arbitrary<Long> ANY_LONG = Arbitraries.longs();
     private static final Arbitrary<Double> VALID_DOUBLE = Arbitraries.doubles().between(0, 1e12);
     private static final Arbitrary<String> TEXT = Arbitraries.strings().ofMaxLength(20);
@@ -90,9 +95,9 @@
                     noise[i];
         }
         CRC32C crc = new CRC32C();
-        crc.update(file, 0, 24);
-        crc.update(file, 28, file.length - 28);
-        ByteBuffer.wrap(file).putInt(24, (int) crc.getValue());
+        crc.update(file, 0, CHECKSUM_OFFSET);
+        crc.update(file, CHECKSUM_END, file.length - CHECKSUM_END);
+        ByteBuffer.wrap(file).putInt(CHECKSUM_OFFSET, (int) crc.getValue());
         try {
             StateSnapshot decoded = StateFileCodec.decode(file);
             assertThat(decoded.roster().entries()).allSatisfy(entry -> assertThat(List.of(Stage.READY, Stage.DRAINING))
--- a/relay/src/test/java/ambertrestle/relay/persistence/TestSnapshots.java
+++ b/relay/src/test/java/ambertrestle/relay/persistence/TestSnapshots.java
@@ -40,6 +40,7 @@
         return new RosterMessage(version, isComplete, entries);
     }
 
+    /** Returns statistics of a backend that has failed often, with a reported delay of 40 ms. */
     static BackendStatistics backendStatistics(String backend, long updatedAt) {
         return new BackendStatistics(RosterMessage.backendId(backend), 0, updatedAt, 1, 8, 4, 40_000_000, updatedAt, 0);
     }
--- a/relay/src/test/java/ambertrestle/relay/server/LogTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/LogTest.java
@@ -13,6 +13,7 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
+/** The text and JSON formats of log lines, which operators' tools parse. */
 class LogTest {
     /** Runs the action and returns what it logs, formatted. */
     private static List<String> formatLogged(Formatter formatter, Runnable action) {
@@ -58,6 +59,7 @@
                                 + " association=ff01 backend=b:1 useCase=read\\R");
     }
 
+    /** A line break within an object would split it for tools that read one object per line. */
     @Test
     void formatsJsonLineAsOneObject() {
         List<String> lines = formatLogged(new Log.JsonFormatter(), LogTest::logSampleEvent);
@@ -71,6 +73,7 @@
         assertThat(json.getInstant("time")).isNotNull();
     }
 
+    /** A stack trace on lines of its own would break tools that read one JSON object per line. */
     @Test
     void putsStackTraceOfFailureInOneField() {
         assertThat(formatLogged(
--- a/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading and checking the relay configuration, from its file and the environment. */
 class RelayConfigurationTest {
     /** Has an unknown key, `strange`, which must be ignored. */
     private static final String VALID_CONFIGURATION =
@@ -40,6 +41,7 @@
                 "127.0.0.5:81"));
     }
 
+    /** Guards the translation of names, units and defaults, and the precedence of the environment's listen address. */
     @Test
     void readsValidConfiguration() throws Exception {
         RelayConfiguration configuration = read(VALID_CONFIGURATION);
@@ -61,6 +63,7 @@
                 .containsEntry("familyInfo.messageAim", "90500,60000");
     }
 
+    /** Without the key and what was expected in the message, an operator could not find the fault. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -107,6 +110,7 @@
                 .containsExactly("name", "settings");
     }
 
+    /** JSON `null` is a text that parses but has no object; it must be a fault and not an exception. */
     @Test
     void reportsMissingVariableAndInvalidJson() {
         assertThatThrownBy(() -> RelayConfiguration.read(Map.of()))
--- a/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
+++ b/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The faults that are reported for a TOML file, and the values that replace faulty ones. */
 class TomlDocumentTest {
     /** The faults as they are printed. */
     private static List<String> faultMessages(TomlDocument document) {
@@ -26,6 +27,7 @@
         assertThat(rootTable.readDurationNanos("f", "250ms")).isEqualTo(250_000_000L);
     }
 
+    /** Reading must go on with a usable value after each fault, so that one pass reports all of them. */
     @Test
     void reportsMalformedOrOutOfRangeValuesAndUsesDefaults() {
         TomlDocument document = TomlDocument.parse("f", "a = \"-1s\"\nb = 5\nc = \"2 s\"\nd = 7\ne = 0.5\n");
@@ -42,6 +44,7 @@
                 .isEqualTo("f:4: d is malformed: expected a whole number from 1 to 6, got 7");
     }
 
+    /** Faults in an array of tables must name the element; otherwise equal keys could not be told apart. */
     @Test
     void reportsLinesOfFaultsInTablesAndListsOfTables() {
         TomlDocument document = TomlDocument.parse("f", "[a]\nx = 1\n\n[[b]]\ny = 1\n[[b]]\ny = 2\nz = 3\n");
@@ -54,6 +57,7 @@
                 .containsExactly("f:2: a.x is not known", "f:8: b[2].z is not known; the nearest known is y");
     }
 
+    /** A table in place of a value must be reported; otherwise the default would take its place unnoticed. */
     @Test
     void reportsMissingKeyAndTableInPlaceOfValue() {
         TomlDocument document = TomlDocument.parse("f", "[a]\n[b]\n");
--- a/relay/src/test/java/ambertrestle/simhost/SimHostTest.java
+++ b/relay/src/test/java/ambertrestle/simhost/SimHostTest.java
@@ -10,9 +10,12 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
+/** The simulator's protocol, byte by byte: batches that a host reads and replies that it writes. */
 class SimHostTest {
     /** The batch's clock, in microseconds. */
     private static final String CLOCK_HEX = "5a5c800000000000";
+    /** Hex digits of one event record: two for each of its 56 bytes. */
+    private static final int RECORD_HEX_DIGITS = 112;
     /** A ready backend, started long ago, with weight 1. */
     private static final String ROSTER_ENTRY_HEX = "0000000000000000 0000 01 0a124a07 8b13 0000803f 0000 0000";
 
@@ -26,12 +29,12 @@
         return HexFormat.of().toHexDigits(Integer.reverseBytes(value));
     }
 
-    /** The frame of a batch with these records, each padded to 56 bytes, and this tail. */
+    /** Returns the frame of a batch with these records, each padded to 56 bytes, and this tail. Both are in hex. */
     private static byte[] encodeBatch(String tail, String... records) {
         StringBuilder body = new StringBuilder(CLOCK_HEX + toLittleEndianHex(records.length));
         for (String record : records) {
             String hex = record.replace(" ", "");
-            body.append(hex).append("0".repeat(112 - hex.length()));
+            body.append(hex).append("0".repeat(RECORD_HEX_DIGITS - hex.length()));
         }
         body.append(tail);
         return parseHex(toLittleEndianHex(body.toString().replace(" ", "").length() / 2) + body);
@@ -76,6 +79,7 @@
                 "05 0300 02 29000000" + toLittleEndianHex(length) + "01000000");
     }
 
+    /** The simulator reads replies by position, so no field may move. */
     @Test
     void answersEmptyBatchAndArrival() throws Exception {
         String arrival = "01 0300 c4913a5d3a380500 0000 00000000 640ad2557c3bf091 da05a40000000000 e02e0000 "
@@ -87,6 +91,7 @@
         fixture.assertTraceMatches("wire");
     }
 
+    /** At the end of a batch, an instance that has stopped must not be polled for due actions any more. */
     @Test
     void startAndStopInOneBatchProduceNoRecords() throws Exception {
         byte[] batch = encodeBatch(
@@ -97,6 +102,7 @@
         assertThat(runSimHost(batch)).isEqualTo("0000000000000000");
     }
 
+    /** Invalid settings of one instance must not end the process, which hosts the other instances, too. */
     @Test
     void reportsInvalidSettingsInCrashRecord() throws Exception {
         String reply = runSimHost(encodeStartBatch(encodeSettings().replaceAll("(drainGraceUs)=\\d+", "$1=soon")));
@@ -104,13 +110,14 @@
                 .contains("rules.drainGrace is not a number: soon");
     }
 
+    /** Without these checks, malformed input would end the process with an exception that does not name the record. */
     @Test
     void reportsMalformedInputInOneLine() {
         assertThatThrownBy(() -> runSimHost(parseHex("0c000000 5a5c")))
                 .isInstanceOf(WireFormatException.class)
                 .hasMessage("frame 0 is cut short: 2 of 12 bytes");
         assertThatThrownBy(() -> runSimHost(encodeBatch("", "01 0300")))
-                .hasMessage("batch at clock 8412250, record 0 " + "(event 1, instance 3): this instance is not up");
+                .hasMessage("batch at clock 8412250, record 0 (event 1, instance 3): this instance is not up");
         assertThatThrownBy(() -> runSimHost(encodeBatch("", "4f 0300"))).hasMessageEndingWith("no such event");
         assertThatThrownBy(() -> runSimHost(encodeBatch("", "0b 0300 0100000000000000 00000000 ff000000")))
                 .hasMessageContaining("refers to tail bytes 0 to 255 but the tail holds 0");
