--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -146,7 +146,7 @@
         try {
             server = new RelayServer(vertx, configuration, persistence, stateStore, logMessages);
         } catch (IllegalArgumentException e) {
-            exitWithError("settings: " + e.getMessage());
+            exitWithError(e.getMessage());
             return;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(server::stop, "stop"));
