--- a/lab/src/main/java/ambertrestle/lab/policy/BaselinePolicy.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/BaselinePolicy.java
@@ -23,22 +23,26 @@
  * how it is answered in the end. Subclasses choose the backend in {@link #pick} and may change the timeout of a
  * dispatch.
  *
- * <p>None of them moves connections or limits the dispatches to a backend in slow start, so overload during slow start
- * is counted as a violation for them too. None of them persists learned state.
+ * <p>None of them moves connections. None enforces a limit on the dispatches to a backend in slow start, so violations
+ * of that limit are to be expected of them; they are counted as for the balancer. None of them has learned state to
+ * persist.
  */
 abstract class BaselinePolicy implements BalancingPolicy {
     /** One millisecond in nanoseconds. */
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Least delay before a failed roster call is repeated, in nanoseconds. */
-    private static final long ROSTER_RETRY_DELAY = 250 * MS;
+    private static final long ROSTER_RETRY_DELAY = 250 * NANOS_PER_MILLI;
 
     /** Width of the jitter on top of {@link #ROSTER_RETRY_DELAY}, in nanoseconds. */
-    private static final long ROSTER_RETRY_JITTER = 500 * MS;
+    private static final long ROSTER_RETRY_JITTER = 500 * NANOS_PER_MILLI;
 
     /** What a relay knows of a backend from the roster and its own dispatches. */
     static final class KnownBackend {
+        /** The id by which decisions and dispatches name the backend. */
         final long id;
+
+        /** {@link Stage#GONE} also before the first roster that lists the backend. */
         Stage stage = Stage.GONE;
 
         /** When the roster last changed the backend from ready to draining or gone; no policy reads it. */
@@ -47,6 +51,7 @@
         /** The roster's weight: a backend of weight 2 is meant to get twice as many connections as one of weight 1. */
         double weight = 1;
 
+        /** Number of the zone that the backend belongs to. */
         int zone;
 
         /** This relay's dispatches to the backend that have not finished, open connections included. */
@@ -57,6 +62,7 @@
         }
     }
 
+    /** Source of all random decisions of this policy. */
     final SplittableRandom random;
 
     /** All backends that were ever listed, by id; {@link Stage#GONE} if the roster no longer lists them. */
@@ -74,15 +80,16 @@
     /** The retry-after time of every shed answer, in nanoseconds; 0 if the settings turn it off. */
     private final long retryAfter;
 
-    /** When the roster is to be watched next, in nanoseconds. */
+    /** Earliest time of the next roster watch, in nanoseconds. */
     private long watchAt;
 
-    /** A watch is running or was asked for. */
+    /** A watch was requested and has not failed since. */
     private boolean watchRequested;
 
     /**
      * @param settings the settings as the decisions read them; numbers are in decimal, times in nanoseconds
      * @param seed for every random choice of this policy
+     * @param now time of the relay's start, in nanoseconds; the roster is watched from then on
      */
     BaselinePolicy(Map<String, String> settings, long seed, long now) {
         random = new SplittableRandom(seed);
@@ -114,7 +121,7 @@
     }
 
     /**
-     * The roster has changed.
+     * Called after each roster update, also if it changed nothing.
      *
      * @param members the listed backends, ready or draining, by id
      */
@@ -160,7 +167,8 @@
     /**
      * Whether a dispatch to the backend could not make the effect run twice. After a dispatch that may have run, a
      * binding association may not be dispatched again, and a fingerprinted one only to a backend that discards the
-     * duplicate: within the deduplication window and, where the scope is a zone, in the same zone.
+     * duplicate: within the deduplication window and, where the scope is a zone, in the same zone. The scope of a cell
+     * needs no check, because all backends of a scenario are in one cell.
      */
     private boolean mayDispatchTo(Association association, UseCase useCase, KnownBackend target, long now) {
         for (int i = 0; i < association.dispatchCount; i++) {
@@ -206,10 +214,10 @@
         return due;
     }
 
-    /** A roster from the cache (`cached`) is used like a fresh one. */
+    /** A cached roster is used like a fresh one. */
     @Override
-    public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
-        if (complete) {
+    public void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now) {
+        if (isComplete) {
             backends.values().forEach(backend -> backend.stage = Stage.GONE);
         }
         for (RosterEntry entry : entries) {
@@ -240,7 +248,7 @@
     }
 
     @Override
-    public void onConnectionEstablished(Association association, int dispatch, long latency, long now) {
+    public void onConnectionEstablished(Association association, int dispatch, long setUpTime, long now) {
         association.established = true;
     }
 
--- a/lab/src/main/java/ambertrestle/lab/policy/Policies.java
+++ b/lab/src/main/java/ambertrestle/lab/policy/Policies.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /**
- * The placement policies that a run can use, by name. `module` is {@link Balancer}, the one that the daemon uses; the
+ * The placement policies that a run can use, by name. {@code module} is {@link Balancer}, which the daemon uses; the
  * others are baselines to compare it with.
  */
 public final class Policies {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Chooses the backend with the fewest connections of this relay in proportion to its weight; a random one among
-     * equals.
+     * Chooses the backend with the fewest connections of this relay in proportion to its weight. Ties are broken at
+     * random.
      */
     private static final class LeastConnectionsPolicy extends BaselinePolicy {
         LeastConnectionsPolicy(Map<String, String> settings, long seed, long now) {
@@ -98,6 +98,12 @@
         /** Size of the lookup table: a prime, so that every step width visits every slot. */
         private static final int SLOTS = 65_537;
 
+        /** Added to a backend's id before it is hashed to the first slot of its permutation. */
+        private static final long FIRST_SLOT_SALT = 1;
+
+        /** Added to a backend's id before it is hashed to the step width of its permutation. */
+        private static final long STEP_SALT = 2;
+
         /** The lookup table; empty while no backend is listed. */
         private KnownBackend[] table = new KnownBackend[0];
 
@@ -109,7 +115,8 @@
         }
 
         /**
-         * Builds the table anew if backends came or went: in turn, each takes the next free slot of its permutation.
+         * Rebuilds the table if the set of listed backends has changed. The backends take turns, and each takes the
+         * next free slot of its permutation.
          */
         @Override
         void onRosterChanged(List<KnownBackend> listed) {
@@ -122,10 +129,10 @@
             table = new KnownBackend[listed.isEmpty() ? 0 : SLOTS];
             int[] nextSlots = new int[listed.size()];
             for (int i = 0; i < nextSlots.length; i++) {
-                nextSlots[i] = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 1), SLOTS);
+                nextSlots[i] = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + FIRST_SLOT_SALT), SLOTS);
             }
             for (int filled = 0, i = 0; filled < table.length; filled++, i = (i + 1) % nextSlots.length) {
-                int step = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + 2), SLOTS - 1) + 1;
+                int step = (int) Long.remainderUnsigned(SplitMix64.mix(listed.get(i).id + STEP_SALT), SLOTS - 1) + 1;
                 while (table[nextSlots[i]] != null) {
                     nextSlots[i] = (nextSlots[i] + step) % SLOTS;
                 }
@@ -148,26 +155,26 @@
     }
 
     /**
-     * Sees the true state of the backends: a reference for how well placement can do. It considers the backends that
-     * serve and have used less than half of their slow-start budget, or all candidates if there are none. Of those it
-     * takes the least utilized one that already has the group, has spare capacity and a short queue; if there is none,
-     * the one with the lowest {@link #cost}.
+     * Knows the true state of the backends, and so is a reference for how well placement can do. It considers the
+     * backends that serve and have used less than half of their slow-start budget, or all candidates if there are none.
+     * Of those that already have the group, spare capacity and a short queue it takes the least utilized one; if there
+     * are none, it takes the backend with the lowest {@link #cost}.
      */
     private static final class OraclePolicy extends BaselinePolicy {
         /** From this utilization on a backend has no spare capacity. */
         private static final double MAX_UTILIZATION = 0.6;
 
         /** One millisecond in nanoseconds. */
-        private static final double MS = 1e6;
+        private static final double NANOS_PER_MILLI = 1e6;
 
         /** From this queue delay on, in nanoseconds, a backend's queue isn't short. */
-        private static final double MAX_QUEUE_DELAY = 20 * MS;
+        private static final double MAX_QUEUE_DELAY = 20 * NANOS_PER_MILLI;
 
         /** Backends that have used this share of their slow-start budget get no more while another is healthy. */
         private static final double MAX_SLOW_START_BUDGET_USED = 0.5;
 
         /** The cost of a backend's load at 50 % utilization, in nanoseconds of queue delay. */
-        private static final double UTILIZATION_COST = 100 * MS;
+        private static final double UTILIZATION_COST = 100 * NANOS_PER_MILLI;
 
         /**
          * The least idle share in {@link #cost}, which bounds the cost of a backend that is fully utilized or
@@ -176,7 +183,7 @@
         private static final double MIN_IDLE_SHARE = 0.05;
 
         /** The cost of placing a group on a backend that doesn't have it yet, in nanoseconds of queue delay. */
-        private static final double NEW_GROUP_COST = 30 * MS;
+        private static final double NEW_GROUP_COST = 30 * NANOS_PER_MILLI;
 
         private final BackendGroundTruth groundTruth;
 
@@ -186,7 +193,8 @@
         }
 
         /**
-         * All the time until the cut-off: the oracle knows which backends answer and has no need of a second attempt.
+         * The whole time until the cut-off: the oracle knows which backends answer, so it doesn't need to leave time
+         * for a second attempt.
          */
         @Override
         long dispatchTimeout(Association association, long goalTime, long now) {
--- a/lab/src/main/java/ambertrestle/lab/simulation/BackendConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BackendConnection.java
@@ -3,8 +3,8 @@
 import ambertrestle.relay.wire.BackendMessage;
 
 /**
- * The backend's end of one connection from a relay to a backend. The subclass carries the bytes, in virtual time or on
- * a socket.
+ * The backend's end of one connection from a relay to a backend. Subclasses provide the transport: virtual time or a
+ * socket.
  */
 public abstract class BackendConnection {
     /** The backend at this end; null before a connection was attempted, and if the address belongs to no backend. */
@@ -14,15 +14,15 @@
     protected int backendIncarnation;
 
     /**
-     * The client's connection whose opening was sent here. Null until the opening reaches the backend, and for good if
-     * no regular client sent it.
+     * The client connection that this dispatch is for. Null until the OPEN line reaches the backend, and afterwards if
+     * no regular client sent that line.
      */
     ClientConnection client;
 
     /** The invariant checker's record of the dispatch; null as long as {@link #client} is null. */
     protected InvariantChecker.ObservedDispatch dispatch;
 
-    /** The backend admitted the connection, which holds one of the backend's slots until it ends. */
+    /** The backend has admitted the connection, so it counts towards the fleet's maximum until it ends. */
     boolean admitted;
 
     /** The backend closed or reset the connection. */
@@ -34,17 +34,19 @@
     /** Sends a line to the relay. */
     protected abstract void sendLine(BackendMessage line);
 
-    /** Closes the connection from the backend's side, after the lines already sent. */
+    /** Closes the connection after the lines that were already sent. */
     protected abstract void doClose();
 
-    /** Resets the connection from the backend's side. */
+    /** Resets the connection; lines that were sent may be lost. */
     protected abstract void doReset();
 
+    /** Closes the connection from the backend's side, and records that. */
     final void closeByBackend() {
         closedByBackend = true;
         doClose();
     }
 
+    /** Resets the connection from the backend's side, and records that. */
     final void resetByBackend() {
         closedByBackend = true;
         doReset();
--- a/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
@@ -7,7 +7,10 @@
  * error or close the connection within {@link #ANSWER_DEADLINE}; if it doesn't, the client is counted as unanswered.
  */
 final class BadClient extends ClientEndpoint {
-    /** First lines without their CRLF. An empty one means that the client sends nothing. */
+    /**
+     * First lines without their CRLF. An empty one means that the client sends nothing. The last one is longer than the
+     * relay's line limit of 4096 bytes.
+     */
     private static final String[] INVALID_REQUESTS = {
         "HELLO",
         "OPEN",
@@ -20,6 +23,7 @@
         "X".repeat(5000)
     };
 
+    /** Number of different bad clients. */
     static final int INVALID_REQUEST_COUNT = INVALID_REQUESTS.length;
 
     /** How long the relay may take to answer or close, in nanoseconds. */
@@ -43,6 +47,7 @@
         this.requestIndex = requestIndex;
     }
 
+    /** Connects to the relay and sends the request once the relay has accepted the connection. */
     void connect() {
         relay.connect(this);
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
@@ -5,48 +5,53 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection of a client to a relay, with its one association. Sends the opening, then lines at the use case's
- * interval once it is established, and reports what it observes to the invariant checker, the metrics and its session.
+ * One connection of a client to a relay, with its one association. Sends the OPEN line and, once it is established, a
+ * line at each interval of the use case. Reports what it observes to the invariant checker, the metrics and its
+ * session.
  */
 public final class ClientConnection extends ClientEndpoint {
     private enum Stage {
         /** No final answer yet; also while it is being connected. */
         WAITING,
-        /** The client got UP. */
+        /** The client has received UP. */
         ESTABLISHED,
+        /** Refused, answered with BUSY or ERR, closed, or given up by the client. */
         CLOSED
     }
 
     /** The line that every established client sends; {@link SimulatedRelay} recognizes it by this array's identity. */
     static final byte[] LINE_MESSAGE = "L\r\n".getBytes(StandardCharsets.UTF_8);
 
-    /** Length of "BUSY ", after which a BUSY line names the milliseconds until a retry is welcome. */
+    /** Length of {@code "BUSY "}. In a BUSY line, the milliseconds until the client may retry can follow. */
     private static final int BUSY_PREFIX_LENGTH = 5;
 
     /** One millisecond in nanoseconds. */
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     final ClientSession session;
     final InvariantChecker.ObservedAssociation association;
     private final Testbed testbed;
 
-    /** The client was connected before and comes back: `again=1` in the opening. */
+    /** The client was connected before and reconnects: {@code again=1} in the OPEN line. */
     private final boolean returning;
 
-    /** An earlier attempt of the session was shed or failed: `r=1` in the opening. */
+    /** An earlier attempt since the session's last UP was shed or failed: {@code r=1} in the OPEN line. */
     private final boolean retry;
 
     /** Null before {@link #connect}, and if no relay was available. */
     private RelayInstance relay;
 
-    /** The connection at the backend that established this one; null before that. */
+    /** The connection between relay and backend that serves this one; null until the backend has sent UP. */
     BackendConnection backendConnection;
 
     private Stage stage = Stage.WAITING;
     private boolean byeReceived;
     private boolean moveReceived;
 
-    /** When the lines without a reply were due, in nanoseconds, oldest first; null before the first line. */
+    /**
+     * When the lines that have no reply yet were due, in nanoseconds from the start of the run, oldest first; null
+     * before the first line.
+     */
     private ArrayDeque<Long> unansweredLineDueTimes;
 
     ClientConnection(ClientSession session, boolean returning, boolean retry) {
@@ -84,14 +89,14 @@
     public void onAccepted() {
         String line = "OPEN " + Long.toHexString(association.id) + " " + Long.toHexString(session.clientId) + " c="
                 + session.useCase.name()
-                + ",t=t,d=" + session.useCase.cutOff() / MS
+                + ",t=t,d=" + session.useCase.cutOff() / NANOS_PER_MILLI
                 + (session.group != 0 ? ",g=" + Long.toHexString(session.group) : "")
                 + (retry ? ",r=1" : "") + (returning ? ",again=1" : "") + "\r\n";
         relay.send(this, line.getBytes(StandardCharsets.UTF_8));
         testbed.scheduler.scheduleAfter(session.useCase.cutOff(), this::onCutOff);
     }
 
-    /** The use case's cut-off has passed: a client that still waits for its answer gives up. */
+    /** Called when the use case's cut-off has passed. A client that still waits for its answer gives up. */
     private void onCutOff() {
         if (stage == Stage.WAITING) {
             testbed.metrics.add(Series.UNANSWERED, 1, testbed.now());
@@ -119,9 +124,9 @@
         transitionTo(Stage.CLOSED);
     }
 
-    // ---- calls from the relay
+    // ---- called by the relay
 
-    /** Reads UP, BUSY or ERR as the final answer, and leaves lines after UP to {@link #onEstablishedLine}. */
+    /** Handles UP, BUSY or ERR as the final answer, and passes lines after UP to {@link #onEstablishedLine}. */
     @Override
     public void onLine(byte[] raw) {
         if (stage == Stage.CLOSED) {
@@ -147,7 +152,9 @@
             markClosed();
             String text = new String(raw, StandardCharsets.US_ASCII).strip();
             session.onShed(
-                    text.length() > BUSY_PREFIX_LENGTH ? Long.parseLong(text.substring(BUSY_PREFIX_LENGTH)) * MS : 0);
+                    text.length() > BUSY_PREFIX_LENGTH
+                            ? Long.parseLong(text.substring(BUSY_PREFIX_LENGTH)) * NANOS_PER_MILLI
+                            : 0);
         } else {
             testbed.metrics.add(Series.FORFEITED, 1, testbed.now());
             markClosed();
@@ -156,8 +163,8 @@
     }
 
     /**
-     * Reads a line of an established connection: a backend's reply, MOVE or BYE. Replies come in the order of the
-     * client's lines. A reply without an outstanding line counts as on time.
+     * Handles a line of an established connection: a backend's reply, MOVE or BYE. Replies come in the order of the
+     * client's lines. A reply without an outstanding line counts as being on time.
      */
     private void onEstablishedLine(byte[] raw, char first) {
         if (first == 'R') {
@@ -180,8 +187,8 @@
     }
 
     /**
-     * Sends the next line at `due`, and so on every interval. The client doesn't wait for replies, so a slow backend
-     * gets no fewer lines.
+     * Sends a line at {@code due} and another one after each interval, for as long as the connection is established.
+     * The client doesn't wait for replies, so a slow backend gets no fewer lines than a fast one.
      */
     private void scheduleNextLine(long due) {
         testbed.scheduler.scheduleAt(due, () -> {
@@ -197,8 +204,8 @@
     }
 
     /**
-     * A connection closed without an answer violates an invariant. So does an established one that ends without BYE or
-     * MOVE while its backend still answers, because then the relay has cut it off.
+     * Reports a violation if the connection had no answer yet, or if it was established and ended without BYE or MOVE
+     * while its backend still responds, because then the relay has closed it.
      */
     @Override
     public void onClosed(boolean reset) {
@@ -225,7 +232,7 @@
         }
     }
 
-    /** Not reported as a violation: a killed relay can neither answer nor keep its connections. */
+    /** Reports no violation: a killed relay can neither answer nor keep its connections open. */
     @Override
     public void onRelayKilled() {
         if (stage != Stage.CLOSED) {
@@ -241,8 +248,8 @@
     }
 
     /**
-     * A violation: before a planned restart a relay must answer its waiting clients and send the established ones away
-     * with MOVE.
+     * Reports a violation: before a planned restart, a relay must answer its waiting clients and end the established
+     * connections with MOVE.
      */
     @Override
     public void onRelayShutdown() {
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientSession.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientSession.java
@@ -3,47 +3,47 @@
 import ambertrestle.lab.scenario.Scenario;
 
 /**
- * One client's demand for a connection that stays open for a given time. The session opens as many connections in turn
- * as it takes, and retries and reconnects as the scenario's {@link Scenario.Clients} allow.
+ * One client that wants to be connected for a given time. The session opens connections one after the other until that
+ * time is over, and retries and reconnects as the scenario's {@link Scenario.Clients} allow.
  */
 final class ClientSession {
     /** One millisecond in nanoseconds. */
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Refused connections in the whole session after which the client gives up. */
+    /** After this many refused connections in the whole session, the next refusal ends the session. */
     private static final int MAX_REFUSALS = 50;
 
-    /**
-     * The least time from a refused connection to the next attempt, and the width of the jitter on top, in nanoseconds.
-     */
-    private static final long REFUSED_RETRY_DELAY = 50 * MS;
+    /** Least delay from a refused connection to the next attempt, and width of the jitter on top, in nanoseconds. */
+    private static final long REFUSED_RETRY_DELAY = 50 * NANOS_PER_MILLI;
 
-    /** The retry backoff stops doubling here: it is at most 64 times the initial one. */
+    /** Number of times that the retry backoff is doubled at most, so that it is at most 64 times the initial one. */
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     final Testbed testbed;
+    /** The use case, with its load. */
     final Scenario.Workload useCase;
+    /** Never 0. */
     final long clientId;
 
     /** The group of the client's requests; 0 if the scenario has no groups. */
     final long group;
 
-    /** When the client asked for the connection, in nanoseconds of the run. */
+    /** When the client arrived, in nanoseconds from the start of the run. */
     private final long requestedAt;
 
     /** How long the client wants to be connected, from its first UP, in nanoseconds. */
     private final long duration;
 
-    /** When the session is complete; 0 until it was established for the first time. */
+    /** When the session is complete, in nanoseconds from the start of the run; 0 until the client gets its first UP. */
     private long endsAt;
 
-    /** Retries since the session was last established. */
+    /** Retries since the client's last UP. */
     private int retries;
 
     /** Refused connections in the whole session. */
     private int refusals;
 
-    /** The opening's benefit and latency were recorded, which happens once a session. */
+    /** The benefit and latency of the first UP have been recorded, which happens once per session. */
     private boolean openingRecorded;
 
     ClientSession(Testbed testbed, Scenario.Workload useCase, long clientId, long group, long duration) {
@@ -67,6 +67,11 @@
         connect(false);
     }
 
+    /**
+     * Opens a connection unless the session is complete.
+     *
+     * @param returning the client was connected before
+     */
     private void connect(boolean returning) {
         if (endsAt != 0 && testbed.now() >= endsAt) {
             return;
@@ -80,12 +85,12 @@
      * How long a backend that establishes the connection now has to serve it, in nanoseconds; at least one millisecond.
      */
     long remainingDuration() {
-        return endsAt == 0 ? duration : Math.max(MS, endsAt - testbed.now());
+        return endsAt == 0 ? duration : Math.max(NANOS_PER_MILLI, endsAt - testbed.now());
     }
 
     /**
-     * The client got UP. The first one brings the opening's benefit: all of it within the goal time, then linearly less
-     * down to nothing at the cut-off.
+     * Called when the client has received UP. The first UP gains the opening benefit: all of it within the goal time,
+     * then linearly less, down to nothing at the cut-off.
      */
     void onEstablished() {
         testbed.metrics.add(MetricsRecorder.Series.ESTABLISHED, 1, testbed.now());
@@ -104,8 +109,8 @@
     }
 
     /**
-     * No relay was reachable, or the selected one refused the connection. The client connects again after a short delay
-     * without using up one of its retries.
+     * Called when no relay was available, or the selected one refused the connection. The client connects again after a
+     * short delay, which doesn't count as a retry.
      */
     void onRefused() {
         testbed.metrics.add(MetricsRecorder.Series.REFUSED, 1, testbed.now());
@@ -116,15 +121,17 @@
     }
 
     /**
-     * The relay answered BUSY and asked the client to stay away for `retryAfter` nanoseconds; 0 if it named no time.
+     * Called when the relay has answered BUSY.
+     *
+     * @param retryAfter least time until the client may try again, in nanoseconds; 0 if the relay gave none
      */
     void onShed(long retryAfter) {
         scheduleRetry(retryAfter);
     }
 
     /**
-     * The request failed or got no answer, so a dispatch may have run. The client retries, except with a binding
-     * effect, which could then run twice.
+     * Called when the request has failed or got no answer, so that a dispatch may have run. The client retries unless
+     * the effect is binding, because a binding effect could then run twice.
      */
     void onFailed() {
         if (useCase.effect() != Scenario.Effect.BINDING) {
@@ -133,8 +140,8 @@
     }
 
     /**
-     * Retries with exponential backoff and jitter, but not before `minDelay` nanoseconds; gives up after the scenario's
-     * number of retries.
+     * Schedules a retry with exponential backoff and jitter, but not within the next {@code minDelay} nanoseconds.
+     * Gives up after the scenario's number of retries.
      */
     private void scheduleRetry(long minDelay) {
         Scenario.Clients clients = testbed.scenario.clients();
@@ -146,7 +153,7 @@
         }
     }
 
-    /** The established connection broke, or the relay or the backend ended it with MOVE. */
+    /** Called when an established connection has broken, or was ended with MOVE. */
     void onDisconnected() {
         if (testbed.scenario.clients().reconnects()) {
             testbed.scheduler.scheduleAfter(
--- a/lab/src/main/java/ambertrestle/lab/simulation/DeliveredRoster.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/DeliveredRoster.java
@@ -12,8 +12,12 @@
  * backend has been known to it as draining or gone.
  */
 public final class DeliveredRoster {
+    /** Ready and draining backends by name. */
     private final TreeMap<String, RosterMessage.Entry> entries = new TreeMap<>();
-    /** When the relay was first notified that a backend is draining or gone; without backends that are ready. */
+    /**
+     * When the relay was first notified that a backend is draining or gone, by the backend's name. Backends that are
+     * ready, or were merely missing from a complete roster, have no entry.
+     */
     private final TreeMap<String, Long> drainNotifiedAt = new TreeMap<>();
     /** Version of the last message; -1 before the first. */
     private long version = -1;
@@ -52,7 +56,8 @@
 
     /**
      * When the relay was first notified that the backend is draining or gone, in nanoseconds from the start of the run;
-     * -1 if it was not, or if the backend has been ready again since.
+     * -1 if it was not, or if the backend has been ready again since. A backend that is merely missing from a complete
+     * roster doesn't count as gone.
      */
     public long drainNotifiedAt(String backend) {
         return drainNotifiedAt.getOrDefault(backend, -1L);
--- a/lab/src/main/java/ambertrestle/lab/simulation/EventQueue.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/EventQueue.java
@@ -10,12 +10,16 @@
  * children of slot {@code i} are the slots from {@code 4 * i + 1} to {@code 4 * i + 4}.
  */
 final class EventQueue implements Scheduler {
+    /** Number of entries that the arrays hold before they grow for the first time. */
     private static final int INITIAL_CAPACITY = 1 << 12;
     /** Children per heap entry. */
     private static final int CHILD_COUNT = 4;
 
+    /** When each event is due, in nanoseconds from the start of the run. */
     private long[] times = new long[INITIAL_CAPACITY];
+    /** Position of each event in the order of scheduling; decides between events of the same time. */
     private long[] sequenceNumbers = new long[INITIAL_CAPACITY];
+
     private Runnable[] actions = new Runnable[INITIAL_CAPACITY];
     private int size;
     private long nextSequenceNumber;
--- a/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
@@ -30,13 +30,16 @@
          */
         NO_DUPLICATE_EFFECT("an effect may have run twice"),
         /**
-         * BUSY isn't sent if a dispatch may have run, because the client then tries again; except where a repeated
-         * request does no harm.
+         * BUSY isn't sent if a dispatch may have run, because the client would try again and the effect could run
+         * twice. It may be sent if a repeated request does no harm.
          */
         NO_SHED_IF_MAY_HAVE_RUN("shed though a dispatch may have run"),
         /** An association has no more than one dispatch in flight. */
         NO_CONCURRENT_DISPATCHES("a second dispatch while one was out"),
-        /** A backend gets no dispatch from a relay that has known for longer than the drain grace that it drains. */
+        /**
+         * A backend gets no dispatch from a relay that was notified longer than the drain grace ago that the backend is
+         * draining or gone.
+         */
         NO_DISPATCH_TO_DRAINED_BACKEND("a dispatch to a drained backend after the grace"),
         /** All relays together send a cold backend no more dispatches than the slow-start limit allows. */
         NO_OVERLOAD_IN_SLOW_START("a cold backend was pushed over"),
@@ -51,13 +54,16 @@
         }
     }
 
+    /** Violations after this number are counted, but not described. */
     private static final int MAX_VIOLATION_MESSAGES = 20;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double NANOS_PER_SECOND = 1e9;
     /** A cold backend may always get this many dispatches per burst window, however slow it is. */
     private static final double MIN_ALLOWED_DISPATCHES = 5;
+
     /**
-     * Added to each time limit, in nanoseconds. Relays keep the limits as they measure them, and the network delays
+     * Added to each time limit, in nanoseconds. Relays enforce the limits by their own clock, but the network delays
      * what observers see. The loopback testbed allows 50 ms; the simulated testbed derives it from its longest latency.
      */
     private final long slack;
@@ -76,7 +82,9 @@
     /** An association as clients and backends observe it. */
     public static final class ObservedAssociation {
         final long id;
+        /** The use case, with its load. */
         final Scenario.Workload useCase;
+        /** Dispatches that have reached a backend, in the order of arrival. */
         final List<ObservedDispatch> dispatches = new ArrayList<>(1);
         /** Number of final answers that the client has received. */
         int finalAnswerCount;
@@ -93,6 +101,7 @@
     public static final class ObservedDispatch {
         final String backend;
         final String zone;
+        /** When its last byte reached the backend. */
         final long reachedAt;
         /** The backend rejected it with BUSY, so it has not run. */
         boolean neverRan;
@@ -150,6 +159,7 @@
                 .toList();
     }
 
+    /** Nanoseconds that are added to each time limit. */
     long slack() {
         return slack;
     }
@@ -196,14 +206,17 @@
         }
     }
 
-    /** Records that a client received a line after a final answer other than UP. */
+    /**
+     * Records that a client received a line although its connection is over: after BUSY or ERR, or after the connection
+     * was closed without MOVE or BYE.
+     */
     public void onLineAfterFinalAnswer(ObservedAssociation association, long now) {
         recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, association, now, "a line after the final answer");
     }
 
     /**
-     * Records that a connection ended, or its cut-off passed, while the relay could have answered. It is a violation if
-     * the client has received no final answer; reported once per association.
+     * Records that a connection ended, or its cut-off passed, while the relay could have answered. This is a violation
+     * if the client has received no final answer. It is reported once per association.
      */
     public void onEndWithoutAnswer(ObservedAssociation association, String reason, long now) {
         if (association.finalAnswerCount == 0 && !association.endedUnanswered) {
@@ -218,7 +231,7 @@
     }
 
     /**
-     * Records that a relay sent the first byte of a dispatch.
+     * Records that a relay has sent a dispatch, at the first moment at which this is visible outside the relay.
      *
      * @param notifiedAt when the relay was notified that the backend is draining or gone; negative if it was not
      */
@@ -242,6 +255,7 @@
         /** Arrival times within the last burst window before the newest one, oldest first. */
         private final ArrayDeque<Long> recentDispatches = new ArrayDeque<>();
 
+        /** The limit was exceeded since the backend's last start. */
         private boolean violationReported;
         /** Limit per burst window, as computed at the last dispatch; 1 before the first. */
         private double allowedDispatches = 1;
@@ -258,10 +272,10 @@
     /**
      * Records that a dispatch reached a backend in its slow start, and checks the limit: within any burst window, all
      * relays together may send it the burst multiple of the set-ups that it can complete in that time at its current
-     * warmth. Reported once per start of the backend.
+     * slow-start speed. A violation is reported once per start of the backend.
      *
      * @param startedAt when the backend started
-     * @param warmSetUpsPerSecond set-ups that it can complete per second once it is warm
+     * @param warmSetUpsPerSecond set-ups that it can complete per second after its slow start
      */
     public void onDispatchReachedColdBackend(
             SlowStartTracker tracker, String backend, long startedAt, double warmSetUpsPerSecond, long now) {
@@ -292,7 +306,7 @@
         }
     }
 
-    /** Counts a violation and describes it while there are few; {@code association} may be null. */
+    /** Counts a violation, and describes it if it is among the first; {@code association} may be null. */
     private void recordViolation(Invariant invariant, ObservedAssociation association, long now, String detail) {
         violationCounts.merge(invariant, 1L, Long::sum);
         if (violationMessages.size() < MAX_VIOLATION_MESSAGES) {
--- a/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
@@ -83,7 +83,7 @@
     private final long recordingStart;
     /** First second, counted from the end of the warm-up, that {@link #sum} and the histograms include. */
     private final int firstCountedSecond;
-    /** Values of each second from the end of the warm-up to the end of the run. */
+    /** For each series, one value per second from the end of the warm-up to the end of the run. */
     private final Map<Series, double[]> valuesBySeries = new LinkedHashMap<>();
     /** Sums over the whole run, including the warm-up, for {@link Testbed#connectionTotals}. */
     private final EnumMap<Series, Double> totals = new EnumMap<>(Series.class);
@@ -93,7 +93,7 @@
     public final Histogram lineLatency = new Histogram(MAX_TRACKABLE_MICROS, SIGNIFICANT_DIGITS);
 
     /**
-     * Creates a recorder with all values 0.
+     * Creates a recorder whose values are all 0.
      *
      * @param recordingStart end of the warm-up
      * @param recordingEnd end of the run
--- a/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
@@ -4,19 +4,20 @@
 import ambertrestle.relay.wire.RosterMessage;
 import java.util.List;
 
-/** One relay as clients, backends and injected faults see it: simulated, or a process of its own. */
+/** A relay as clients, backends and injected faults see it: simulated in virtual time, or a separate process. */
 public abstract class RelayInstance {
     protected final Testbed testbed;
 
     /** The relay's index in the run, from 0. */
     public final int number;
 
+    /** The relay's name in its configuration and in logs. */
     public final String name;
 
     /** The relay's process runs and accepts connections. */
     protected boolean running;
 
-    /** When the relay was last restarted; -1 before a restart, and once a client has been connected since. */
+    /** When the relay was last restarted; -1 if it never was, or once a client has been established since. */
     private long restartedAt = -1;
 
     protected RelayInstance(Testbed testbed, int number) {
@@ -26,9 +27,10 @@
     }
 
     /**
-     * The roster in the relay's configuration at a start, as the scenario's {@link Scenario.RestartRoster} has it.
+     * The roster that the relay's configuration contains at a start. After the first start, the scenario's
+     * {@link Scenario.RestartRoster} selects it.
      *
-     * @param incarnation 1 at the first start, which always gets the roster last delivered; greater afterwards
+     * @param incarnation 1 at the first start, which always gets the last delivered roster; greater afterwards
      * @param deliveredRoster the roster as this relay last received it
      */
     protected final RosterMessage startupRoster(int incarnation, DeliveredRoster deliveredRoster) {
@@ -46,7 +48,7 @@
         restartedAt = testbed.now();
     }
 
-    /** A client of this relay got its UP. */
+    /** Called when a client of this relay has received UP. */
     final void onClientEstablished() {
         if (restartedAt >= 0) {
             testbed.onFirstClientEstablished(this, testbed.now() - restartedAt);
@@ -54,7 +56,7 @@
         }
     }
 
-    /** Starts the relay, also after it was killed or stopped, and runs `ready` once it accepts connections. */
+    /** Starts the relay, also after it was killed or stopped, and runs {@code ready} once it accepts connections. */
     protected abstract void start(Runnable ready);
 
     /** Kills the relay: its connections are lost, and it accepts none until it is started again. */
--- a/lab/src/main/java/ambertrestle/lab/simulation/Scheduler.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Scheduler.java
@@ -6,8 +6,9 @@
     long now();
 
     /**
-     * Runs an action at the given time, or as soon as possible if that time has passed. Actions for the same time run
-     * in the order in which they were scheduled.
+     * Runs an action at the given time, or as soon as possible if that time has passed. In virtual time, actions for
+     * the same time run in the order in which they were scheduled. In real time, actions can run late, and the order of
+     * actions for the same time is not guaranteed.
      */
     void scheduleAt(long time, Runnable action);
 
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackend.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackend.java
@@ -19,6 +19,12 @@
     private static final long MAX_STORE_WAIT = NANOS_PER_SECOND;
     /** Lowest speed as a share of the fleet's speed, so that the work of many groups can't bring it to 0. */
     private static final double MIN_SPEED_SHARE = 0.05;
+    /** The first connection of a group needs this many times the set-up work. */
+    private static final long NEW_GROUP_SET_UP_FACTOR = 2;
+    /** A draining backend rejects new associations after the propagation delay plus this many drain graces. */
+    private static final long DRAIN_GRACES_BEFORE_REJECTION = 2;
+
+    private static final double SECONDS_PER_NANO = 1e-9;
 
     private static final BackendMessage BUSY = BackendMessage.decode(encodeLine("BUSY"));
     private static final BackendMessage ERR = BackendMessage.decode(encodeLine("ERR"));
@@ -31,30 +37,33 @@
     /** Position among all backends of the run, from 0. */
     public final int number;
 
+    /** Unique name, under which the roster lists the backend. */
     public final String name;
+
     final Scenario.Fleet fleet;
     /** Increases when the process dies, so that actions scheduled for an earlier process are ignored. */
     private int incarnation = 1;
 
     /** The process has died and was not restarted. */
     private boolean dead;
-    /** Runs when the process dies. The owner of the sockets closes them. */
+    /** Runs when the process dies; the loopback testbed closes the listening sockets. */
     private Runnable onDeath = () -> {};
-    /** Runs when the process starts again. The owner of the sockets opens them. */
+    /** Runs when the process starts again; the loopback testbed opens the listening sockets. */
     private Runnable onStart = () -> {};
     /** The process is alive but executes nothing; actions are deferred until it resumes. */
     private boolean hung;
-    /** The backend accepts connections but never answers an OPEN line. */
+    /** The backend accepts connections but doesn't answer OPEN lines, except with BUSY while it is full. */
     private boolean silent;
 
+    /** A drain has begun and the process has not been started again since. */
     private boolean draining;
     /** From this time on, new associations are rejected with BUSY. */
     private long rejectsNewFrom = Long.MAX_VALUE;
     /** Multiplies the speed; below 1 while the backend is slowed down. */
     double speedFactor = 1;
     /**
-     * When the process started. The initial value means long before the run; a quarter of the minimum, so that
-     * subtracting it from a time doesn't overflow.
+     * When the process started. The initial value stands for long before the run. It is a quarter of the minimum, so
+     * that subtracting it from a time doesn't overflow.
      */
     long startedAt = Long.MIN_VALUE / 4;
     /** When all queued work is finished. */
@@ -99,7 +108,7 @@
         return !dead;
     }
 
-    /** The backend accepts and answers new associations. */
+    /** The backend accepts and answers new associations. It may still be full. */
     boolean isServing() {
         return !dead && !hung && !silent && !draining;
     }
@@ -121,7 +130,7 @@
 
     /** The lines' work as a share of the current speed; above 1 if overloaded. */
     double utilization() {
-        return totalLineWorkPerSecond * 1e-9 / currentSpeed();
+        return totalLineWorkPerSecond * SECONDS_PER_NANO / currentSpeed();
     }
 
     /** A connection of that group is admitted here. */
@@ -137,7 +146,10 @@
                 : 0;
     }
 
-    /** Work done per unit of time: reduced during slow start, by faults, and by the work that each group causes. */
+    /**
+     * Nanoseconds of work done per nanosecond. Reduced during slow start, by faults, and by the work that each group
+     * causes.
+     */
     double currentSpeed() {
         double slowStartProgress = Math.min(
                 1,
@@ -155,7 +167,7 @@
         return busyUntil;
     }
 
-    /** The connection is open and belongs to the current process. */
+    /** The connection is open, and the current process accepted it. */
     private boolean isAttached(BackendConnection connection) {
         return !dead && connection.backendIncarnation == incarnation && connections.contains(connection);
     }
@@ -233,8 +245,7 @@
         long group = connection.client.session.group;
         boolean isNewGroup = group != 0 && connectionsByGroup.merge(group, 1, Integer::sum) == 1;
         long setUpWork = connection.client.session.useCase.setUpWork();
-        // The first connection of a group needs twice the work.
-        long doneAt = enqueueWork(isNewGroup ? 2 * setUpWork : setUpWork);
+        long doneAt = enqueueWork(isNewGroup ? NEW_GROUP_SET_UP_FACTOR * setUpWork : setUpWork);
         long storedAt = testbed.reserveStoreWork(doneAt);
         int expectedIncarnation = incarnation;
         if (storedAt - testbed.now() > MAX_STORE_WAIT) {
@@ -253,6 +264,7 @@
                 / connection.client.session.useCase.lineInterval();
     }
 
+    /** Answers ERR because the shared store takes too long. */
     private void failSetUp(BackendConnection connection, int expectedIncarnation) {
         if (expectedIncarnation == incarnation && isAttached(connection)) {
             releaseConnection(connection);
@@ -260,6 +272,7 @@
         }
     }
 
+    /** Answers UP, and schedules the end of the connection. */
     private void completeSetUp(BackendConnection connection, int expectedIncarnation) {
         if (expectedIncarnation != incarnation || !isAttached(connection)) {
             return;
@@ -271,7 +284,7 @@
                 remaining, () -> runOrDefer(() -> endConnection(connection, expectedIncarnation)));
     }
 
-    /** Ends a connection whose client has been served for as long as it wanted. */
+    /** Ends a connection with BYE because its client has been served for as long as it wanted. */
     private void endConnection(BackendConnection connection, int expectedIncarnation) {
         if (expectedIncarnation == incarnation && isAttached(connection)) {
             releaseConnection(connection);
@@ -324,7 +337,7 @@
             totalLineWorkPerSecond -= lineWorkPerSecond(connection);
             long group = connection.client.session.group;
             if (group != 0) {
-                connectionsByGroup.merge(group, -1, (x, y) -> x + y == 0 ? null : x + y);
+                connectionsByGroup.merge(group, -1, (count, change) -> count + change == 0 ? null : count + change);
             }
         }
     }
@@ -370,7 +383,9 @@
         }
     }
 
-    /** While silent, the backend accepts connections but never answers an OPEN line. */
+    /**
+     * While silent, the backend accepts connections but doesn't answer OPEN lines, except with BUSY while it is full.
+     */
     void setSilent(boolean nowSilent) {
         silent = nowSilent;
     }
@@ -384,7 +399,9 @@
         draining = true;
         testbed.rosterService.onBackendDraining(this);
         long drainGrace = testbed.scenario.rules().drainGrace();
-        rejectsNewFrom = testbed.now() + testbed.scenario.roster().propagationDelay() + 2 * drainGrace;
+        rejectsNewFrom = testbed.now()
+                + testbed.scenario.roster().propagationDelay()
+                + DRAIN_GRACES_BEFORE_REJECTION * drainGrace;
         int expectedIncarnation = incarnation;
         int stepCount = 20;
         for (int step = 0; step < stepCount; step++) {
@@ -406,7 +423,7 @@
             return;
         }
         List<BackendConnection> admitted =
-                connections.stream().filter(l -> l.admitted).toList();
+                connections.stream().filter(connection -> connection.admitted).toList();
         admitted.stream()
                 .limit((admitted.size() + remainingSteps - 1) / remainingSteps)
                 .forEach(connection -> {
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackendConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedBackendConnection.java
@@ -3,8 +3,8 @@
 import ambertrestle.relay.wire.BackendMessage;
 
 /**
- * Both ends of one simulated connection from a relay to a backend. Messages that a partition holds back are delivered
- * in order when the partition ends.
+ * Both ends of one simulated connection from a relay to a backend. A network partition delays messages: they are
+ * delivered in order after it has ended.
  */
 final class SimulatedBackendConnection extends BackendConnection {
     /** The connection's state as the relay sees it. */
@@ -13,18 +13,20 @@
         /** The relay closed it while it was still connecting. */
         ABANDONED,
         CONNECTED,
+        /** Refused, or closed or reset by either side. */
         CLOSED
     }
 
+    /** The relay that opened the connection. */
     final SimulatedRelay relay;
 
     /** The {@link SimulatedRelay#incarnation} that opened the connection. */
     final int relayIncarnation;
 
-    /** The relay's number of the socket, below 0. */
+    /** The relay's number of the socket; negative. */
     final long socket;
 
-    /** The opening, which is sent as soon as the connection is up. */
+    /** The OPEN line, which is sent as soon as the connection is established. */
     private final byte[] openRequest;
 
     private Stage stage = Stage.CONNECTING;
@@ -32,6 +34,7 @@
     /** Latency of a message in one direction, in nanoseconds. */
     private long oneWayLatency;
 
+    /** The relay has ended the connection with a reset. */
     private boolean resetByRelay;
 
     SimulatedBackendConnection(SimulatedRelay relay, long socket, byte[] openRequest) {
@@ -45,12 +48,12 @@
         return relay.simulatedTestbed();
     }
 
-    /** Runs `delivery` after the one-way latency, counted from the end of the partition if there is one. */
+    /** Runs {@code delivery} after the one-way latency, counted from the end of the partition if there is one. */
     private void scheduleDelivery(Runnable delivery) {
         testbed().scheduler.scheduleAt(testbed().reachableAt(relay, backend) + oneWayLatency, delivery);
     }
 
-    /** Connects to the backend of that address; an unknown address is refused at once. */
+    /** Connects to the backend with that address; an unknown address is refused one nanosecond later. */
     void connect(String address) {
         backend = testbed().findBackend(address);
         if (backend == null) {
@@ -68,15 +71,20 @@
         });
     }
 
+    /** Called on the relay's side when the backend has refused the connection, or has died since it accepted it. */
     private void onRefused() {
         stage = Stage.CLOSED;
         relay.onBackendClosed(this, true);
     }
 
-    /** The relay learns that the connection is up; `acceptedBy` is the backend's incarnation that accepted it. */
+    /**
+     * Called on the relay's side when the connection is established.
+     *
+     * @param acceptedBy the backend's incarnation that accepted it
+     */
     private void onAccepted(int acceptedBy) {
         if (stage == Stage.ABANDONED) {
-            // Like the daemon, sends nothing on a connection that was given up while it was being set up.
+            // Like the daemon, sends nothing on a connection that the relay closed while it was still connecting.
             stage = Stage.CLOSED;
             relay.onBackendClosed(this, false);
             return;
@@ -90,7 +98,7 @@
         relay.onBackendConnected(this);
         boolean heldBack = testbed().reachableAt(relay, backend) > testbed().now();
         scheduleDelivery(() -> {
-            // A reset discards the data that a partition still holds back; after a close that data still arrives.
+            // A reset discards data that a partition still delays. After a close, that data still arrives.
             if (!heldBack || !resetByRelay) {
                 backend.onOpenRequest(this, openRequest);
             }
@@ -101,19 +109,19 @@
         return backend;
     }
 
-    /** The relay forwards one of the client's lines. */
+    /** Sends one of the client's lines from the relay to the backend. */
     void forwardLine() {
         scheduleDelivery(() -> backend.onLine(this));
     }
 
-    /** The relay shuts down its sending direction. */
+    /** Shuts down the relay's sending direction. */
     void shutdownOutput() {
         scheduleDelivery(() -> backend.onClientEnded(this));
     }
 
     /**
-     * The relay closes or resets the connection. True if the socket is released at once; false if the connection is
-     * still being set up, which releases it later, or is closed already.
+     * Closes or resets the connection from the relay's side. Returns true if the socket is released at once; false if
+     * the connection is closed already, or is still connecting: then {@link SimulatedRelay#onBackendClosed} follows.
      */
     boolean closeByRelay(boolean reset) {
         resetByRelay = reset;
@@ -132,6 +140,7 @@
         return true;
     }
 
+    /** Ends the connection because the relay's process was killed; the relay gets no notification. */
     void onRelayKilled() {
         if (stage == Stage.CONNECTED) {
             stage = Stage.CLOSED;
@@ -149,7 +158,7 @@
         return relay;
     }
 
-    // ---- calls from the backend
+    // ---- called by the backend
 
     @Override
     protected void sendLine(BackendMessage line) {
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
@@ -18,71 +18,73 @@
 import java.util.Map;
 
 /**
- * One relay in virtual time: the real reducer with the policy's decisions, and in place of the daemon's event loop,
- * sockets, roster watch and state file their simulated counterparts. Executes the reducer's effects and feeds it the
- * events that follow from them.
+ * One relay in virtual time. It runs the production reducer with a balancing policy, and simulates what the daemon has
+ * around them: the event loop, the sockets, the roster watch and the state file. It executes the reducer's effects and
+ * feeds the resulting events back to it.
  */
 final class SimulatedRelay extends RelayInstance {
     /** One millisecond in nanoseconds. */
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Bytes of the longest line a client may send, CRLF included; a longer one is a framing error. */
     private static final int MAX_LINE_LENGTH = 4096;
 
+    /** The roster service's address in state files. A roster is restored only if its file has the address in use. */
     private static final String ROSTER_ADDRESS = "roster:1";
 
     /**
-     * A restored roster that the roster service confirmed no longer ago than this is used as current, in nanoseconds;
-     * an older one counts as stale. The daemon's default.
+     * Longest time since the roster service confirmed a restored roster for which it is used as current, in
+     * nanoseconds; after that it is stale. This is the daemon's default.
      */
-    private static final long ROSTER_FRESHNESS = 2_000 * MS;
+    private static final long ROSTER_FRESHNESS = 2_000 * NANOS_PER_MILLI;
 
-    /** After this long a relay that was asked to stop is killed, in nanoseconds. */
-    private static final long STOP_TIMEOUT = 4_000 * MS;
+    /** How long a relay that was asked to stop may take before it is killed, in nanoseconds. */
+    private static final long STOP_TIMEOUT = 4_000 * NANOS_PER_MILLI;
 
-    /** From the reducer's {@link Effect.Stop} to the end of the process, in nanoseconds. */
-    private static final long EXIT_DELAY = 200 * MS;
+    /** Time from the reducer's {@link Effect.Stop} to the end of the process, in nanoseconds. */
+    private static final long EXIT_DELAY = 200 * NANOS_PER_MILLI;
 
-    /** The time for other events between two parts of the learned state, in nanoseconds. */
-    private static final long PERSIST_PART_INTERVAL = MS;
+    /** Time between two parts of the learned state, in nanoseconds; other events are processed in between. */
+    private static final long PERSIST_PART_INTERVAL = NANOS_PER_MILLI;
 
-    /** {@link ClientConnection#LINE_MESSAGE} decoded once, because nearly all of the clients' lines are this one. */
+    /** {@link ClientConnection#LINE_MESSAGE}, decoded once because it makes up nearly all of the clients' lines. */
     private static final ClientMessage DECODED_LINE_MESSAGE = new ClientMessage.Payload(ClientConnection.LINE_MESSAGE);
 
     private final SimulatedTestbed simulatedTestbed;
 
-    /**
-     * Goes up with every start and every kill, so that callbacks scheduled for an earlier process are recognized and
-     * dropped.
-     */
+    /** Increases with every start and every kill, so that callbacks scheduled for an earlier process are ignored. */
     int incarnation;
 
     /** The relay was asked to stop; it exits by itself or is killed after {@link #STOP_TIMEOUT}. */
     private boolean stopping;
 
+    /** The reducer of the current process, or of the last one while the relay is down. */
     private SimulatedTestbed.RelayStateMachine stateMachine;
 
-    /** Goes up with every timer that is set, because a new timer replaces the one before. */
+    /** Increases with every timer that is set, so that a timer that was replaced is ignored when it fires. */
     private long timerGeneration;
 
-    /** Number of the client socket accepted last in this process; the first is 1. */
+    /** Number of the last client socket that this process accepted; the first is 1. */
     private long lastClientSocket;
 
+    /** Clients of the current process by the number of their socket. */
     private final Map<Long, ClientEndpoint> clients = new LinkedHashMap<>();
+
+    /** Backend connections of the current process by the number of their socket. */
     private final Map<Long, SimulatedBackendConnection> backendConnections = new LinkedHashMap<>();
 
-    /** The roster as delivered to this relay, over all of its processes. */
+    /** The roster as delivered to this relay; it outlives the relay's processes. */
     private final DeliveredRoster roster = new DeliveredRoster();
 
-    /** Goes up with every watch and when one ends, so that messages to an earlier watch are dropped. */
+    /** Increases when a watch starts or ends, so that messages to an earlier watch are ignored. */
     private long watchGeneration;
 
-    /** Null while the roster isn't watched. */
+    /** The last watch; null before the first one and after a kill. */
     private RosterWatch rosterWatch;
 
     /**
      * The newest state file, which outlives the process; null before the first one. It is replaced in one step, so a
-     * kill never leaves half a file.
+     * kill never leaves a partly written file.
      */
     private byte[] stateFile;
 
@@ -92,7 +94,7 @@
     /** Changes since the last state file; null if the scenario persists no state. */
     private StateChanges pendingChanges;
 
-    /** When the roster service last confirmed the roster, for the state file; 0 if unknown. */
+    /** When the roster service last confirmed the roster, in nanoseconds, for the state file; 0 if unknown. */
     private long rosterConfirmedAt;
 
     /** This process has received a roster from the roster service. */
@@ -128,7 +130,7 @@
         ready.run();
     }
 
-    /** The state that the reducer starts with: from the configuration's roster and the state file, if there is one. */
+    /** The state that the reducer starts from: the configuration's roster and the state file, if there is one. */
     private InitialState recoverInitialState() {
         RosterMessage configuredRoster = startupRoster(incarnation, roster);
         if (!testbed.scenario.relays().persistsState()) {
@@ -155,11 +157,11 @@
      * Asks the reducer for its learned state twice per persist interval, as the daemon does. {@link #persist} asks for
      * the remaining parts, if there are more.
      */
-    private void persistPeriodically(int forIncarnation) {
-        if (running && incarnation == forIncarnation) {
+    private void persistPeriodically(int expectedIncarnation) {
+        if (running && incarnation == expectedIncarnation) {
             apply(new Event.LearnedStateRequested());
             testbed.scheduler.scheduleAfter(
-                    testbed.scenario.relays().persistInterval() / 2, () -> persistPeriodically(forIncarnation));
+                    testbed.scenario.relays().persistInterval() / 2, () -> persistPeriodically(expectedIncarnation));
         }
     }
 
@@ -186,12 +188,12 @@
         stateFile = StateFileCodec.encode(snapshotBuilder.build(testbed.now()));
     }
 
-    /** When this relay was notified that the backend drains or is gone; -1 if it wasn't. */
+    /** When this relay was notified that the backend is draining or gone, in nanoseconds; -1 if it was not. */
     long drainNotifiedAt(String backend) {
         return roster.drainNotifiedAt(backend);
     }
 
-    /** Clients and backends learn of it after the network's latency. */
+    /** Ends the process. Its clients and backends notice after the network's latency. */
     @Override
     protected void kill() {
         running = false;
@@ -218,11 +220,11 @@
     }
 
     /**
-     * Ends the process of a planned restart, after its shutdown or because the shutdown took too long. Connections that
+     * Ends the process in a planned restart, after its shutdown or because the shutdown took too long. Connections that
      * are still open are reported as violations and lost.
      */
-    private void terminate(int forIncarnation) {
-        if (running && incarnation == forIncarnation) {
+    private void terminate(int expectedIncarnation) {
+        if (running && incarnation == expectedIncarnation) {
             clients.values().forEach(ClientEndpoint::onRelayShutdown);
             kill();
         }
@@ -269,19 +271,22 @@
         });
     }
 
-    /** Whether this process accepted the client and has not closed its socket. */
+    /** Whether the current process accepted the client and has not closed its socket. */
     private boolean isOpen(ClientEndpoint client) {
         return running && client.relayIncarnation == incarnation && clients.get(client.socket) == client;
     }
 
-    /** Whether this process opened the connection and has not released its socket. */
+    /** Whether the current process opened the connection and has not released its socket. */
     private boolean isOpen(SimulatedBackendConnection connection) {
         return running
                 && connection.relayIncarnation == incarnation
                 && backendConnections.get(connection.socket) == connection;
     }
 
-    /** A dispatch counts as sent when its connection is up, which is when its first line goes out. */
+    /**
+     * Called when a backend connection is established. The OPEN line is written at once, so the dispatch counts as
+     * sent.
+     */
     void onBackendConnected(SimulatedBackendConnection connection) {
         if (isOpen(connection)) {
             testbed.onDispatchSent(this, connection.backend());
@@ -292,20 +297,25 @@
         }
     }
 
+    /** Called when a line of the backend has arrived. */
     void onBackendLine(SimulatedBackendConnection connection, BackendMessage line) {
         if (isOpen(connection)) {
             onNetworkEvent(new NetworkEvent.BackendMessageReceived(connection.socket, line));
         }
     }
 
-    /** The backend shut down its sending direction; the relay may still write. */
+    /** Called when the backend has shut down its sending direction; the relay may still write. */
     void onBackendEnded(SimulatedBackendConnection connection) {
         if (isOpen(connection)) {
             onNetworkEvent(new NetworkEvent.InputShutdown(connection.socket));
         }
     }
 
-    /** The backend refused or reset the connection (`reset`), or it was abandoned while it was being set up. */
+    /**
+     * Called when a backend connection has ended and its socket is released.
+     *
+     * @param reset true if the backend refused or reset it, false if the relay closed it while it was connecting
+     */
     void onBackendClosed(SimulatedBackendConnection connection, boolean reset) {
         if (isOpen(connection)) {
             backendConnections.remove(connection.socket);
@@ -314,8 +324,8 @@
     }
 
     /**
-     * One watch on the roster service. Its messages arrive after the network's latency; they are dropped if another
-     * watch has replaced this one by then.
+     * One watch on the roster service. Its messages arrive after the network's latency. They are dropped if the watch
+     * has ended or was replaced by then.
      */
     private final class RosterWatch implements SimulatedRosterService.Watcher {
         private final long generation = ++watchGeneration;
@@ -329,8 +339,9 @@
         }
 
         /**
-         * Asks for the roster's changes after version `fromVersion`, or for the complete roster if that is below 0 or
-         * unknown to the service. Takes one round trip.
+         * Asks for the roster's changes after version {@code fromVersion}. The service sends the complete roster
+         * instead if that is negative or newer than its current version. The request reaches the service after two
+         * one-way latencies.
          */
         void subscribe(long fromVersion) {
             testbed.scheduler.scheduleAfter(2 * simulatedTestbed.rosterLatency(number), () -> {
@@ -361,6 +372,7 @@
         }
     }
 
+    /** Ends the last watch at the roster service, without an event for the reducer. */
     private void unwatch() {
         if (rosterWatch != null) {
             testbed.rosterService.unwatch(rosterWatch);
@@ -386,8 +398,13 @@
             execute(execution.command());
         } else if (effect instanceof Effect.ScheduleTimer timer) {
             long generation = ++timerGeneration;
-            // Like the daemon's timer: whole milliseconds, rounded up, at least one.
-            long delay = Math.max(1, (Math.min(timer.time(), Long.MAX_VALUE / 2) - testbed.now() + MS - 1) / MS) * MS;
+            // Like the daemon's timer: whole milliseconds, rounded up, at least one. The time can be as large as
+            // Long.MAX_VALUE, which means never; halving the limit prevents an overflow.
+            long delay = Math.max(
+                            1,
+                            (Math.min(timer.time(), Long.MAX_VALUE / 2) - testbed.now() + NANOS_PER_MILLI - 1)
+                                    / NANOS_PER_MILLI)
+                    * NANOS_PER_MILLI;
             testbed.scheduler.scheduleAfter(delay, () -> {
                 if (running && generation == timerGeneration) {
                     apply(new Event.TimerFired());
@@ -407,7 +424,7 @@
         }
     }
 
-    /** Client sockets have numbers above 0, backend sockets below. */
+    /** Executes a command. Client sockets have positive numbers, backend sockets negative ones. */
     private void execute(NetworkCommand command) {
         if (command instanceof NetworkCommand.Connect connect) {
             SimulatedBackendConnection connection =
@@ -450,8 +467,9 @@
     }
 
     /**
-     * Closes or resets a socket. The reducer learns of it in an event of its own, as from the daemon's sockets. A
-     * backend connection that is still being set up is released, and reported, once its connect attempt ends.
+     * Closes or resets a socket. As with the daemon's sockets, a later event notifies the reducer that the socket is
+     * released. A backend connection that is still connecting is released, and the reducer notified, only when its
+     * connect attempt ends.
      */
     private void closeSocket(long socket, boolean reset) {
         int currentIncarnation = incarnation;
@@ -470,9 +488,9 @@
         }
     }
 
-    /** Tells the reducer that the socket is released, unless the relay was killed or restarted meanwhile. */
-    private void notifySocketClosed(int forIncarnation, long socket) {
-        if (running && incarnation == forIncarnation) {
+    /** Notifies the reducer that the socket is released, unless its process has ended in the meantime. */
+    private void notifySocketClosed(int expectedIncarnation, long socket) {
+        if (running && incarnation == expectedIncarnation) {
             onNetworkEvent(new NetworkEvent.SocketClosed(socket, false));
         }
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRosterService.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRosterService.java
@@ -38,7 +38,7 @@
     private long version = 1;
     /** How the service fails; null while it works. */
     private RosterFailureMode failureMode;
-    /** Multiplies the propagation delay of new changes. */
+    /** Multiplies the propagation delay of new changes; above 1 while the service lags. */
     double lagFactor = 1;
 
     SimulatedRosterService(Testbed testbed) {
@@ -68,7 +68,7 @@
                 backend.startedAt < 0 ? 0 : testbed.toUnixTime(backend.startedAt) / NANOS_PER_MILLI);
     }
 
-    /** Lists a backend as gone if it is still dead after the failure detection delay. */
+    /** Lists a backend as gone if it is still dead after the failure detection delay, plus the propagation delay. */
     void onBackendDied(SimulatedBackend backend) {
         int incarnation = backend.incarnation();
         testbed.scheduler.scheduleAfter(testbed.scenario.roster().failureDetectionDelay(), () -> {
@@ -78,10 +78,12 @@
         });
     }
 
+    /** Lists a backend as ready after the propagation delay. */
     void onBackendStarted(SimulatedBackend backend) {
         scheduleChange(createEntry(backend, Stage.READY));
     }
 
+    /** Lists a backend as draining after the propagation delay. */
     void onBackendDraining(SimulatedBackend backend) {
         scheduleChange(createEntry(backend, Stage.DRAINING));
     }
@@ -100,7 +102,7 @@
             version++;
             for (RosterMessage.Entry changed : changedEntries) {
                 changesByVersion
-                        .computeIfAbsent(version, k -> new ArrayList<>())
+                        .computeIfAbsent(version, newVersion -> new ArrayList<>())
                         .add(changed);
                 if (changed.stage() == Stage.GONE) {
                     entries.remove(changed.name());
@@ -137,6 +139,7 @@
         return true;
     }
 
+    /** Ends a watch without notifying the watcher. */
     public void unwatch(Watcher watcher) {
         watchers.remove(watcher);
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
@@ -21,8 +21,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Runs a scenario in virtual time on one thread, with the production reducer and balancing policy in every relay. No
- * code here reads the system clock, so the same scenario and seed give the same run on any machine. A relay's own
+ * Runs a scenario in virtual time on one thread, with the production reducer and any balancing policy in every relay.
+ * Nothing reads the system clock, so the same scenario and seed give the same run on any machine. A relay's own
  * processing takes no virtual time; the loopback testbed measures that cost.
  */
 public final class SimulatedTestbed extends Testbed {
@@ -34,22 +34,26 @@
      * have a start time in a future that the run never reaches.
      */
     private static final long RUN_START_UNIX_NANOS = 0;
-    /** The invariant checker's slack, in longest one-way latencies; a millisecond is added to it. */
+    /** The invariant checker's slack is this many times the longest one-way latency, plus a millisecond. */
     private static final long SLACK_LATENCIES = 6;
-    /** The roster service's latency key; backends and clients have others. */
+    /** The roster service's latency key, which differs from those of backends and clients. */
     private static final long ROSTER_LATENCY_KEY = -1L;
+    /** Spreads the seeds of successive state machines before the random part is added. */
+    private static final long SEED_STEP = 31;
 
-    /** A relay as the simulator sees it: takes events with their times and returns effects to execute. */
+    /** The logic of a relay: takes events with their times and returns effects to execute. */
     public interface RelayStateMachine {
         /** Processes one event at the time {@code now}, in nanoseconds from the start of the run. */
         List<Effect> apply(Event event, long now);
     }
 
     private final EventQueue eventQueue;
+    /** Creates the policy of each new state machine. */
     private final BalancingPolicy.Factory policyFactory;
     /** Applied to each new state machine of a relay; the identity in regular runs. */
     private final UnaryOperator<RelayStateMachine> relayDecorator;
 
+    /** The configuration of all relays. Addresses and roster in it are placeholders. */
     private final RelayConfiguration configuration;
     /** Number of state machines created so far; gives each its own seed. */
     private long stateMachineCount;
@@ -137,17 +141,17 @@
         return ((SimulatedRelay) relay).drainNotifiedAt(backend.name);
     }
 
-    /** Decodes a line of a client, which includes its line end. */
+    /** Decodes a line of a client; it includes its CRLF. */
     ClientMessage decode(byte[] line) {
         return ClientMessage.decode(line, configuration.names());
     }
 
-    /** Creates a relay's state machine, with a seed of its own, that starts from the given state. */
+    /** Creates a relay's state machine that starts from the given state. Each one gets a different seed. */
     RelayStateMachine newStateMachine(InitialState initialState) {
         return relayDecorator.apply(new Reducer(
                 configuration
                         .reducerConfiguration()
-                        .withSeed(SplitMix64.mix(++stateMachineCount * 31 + random.nextLong())),
+                        .withSeed(SplitMix64.mix(++stateMachineCount * SEED_STEP + random.nextLong())),
                 initialState,
                 scenario.relays().persistsState(),
                 policyFactory,
@@ -156,11 +160,11 @@
 
     /** One-way latency between a relay and the client with that latency key, in nanoseconds. */
     long clientLatency(int relay, long client) {
-        return oneWayLatency(relay + 1L, client);
+        return oneWayLatencyByKeys(relay + 1L, client);
     }
 
     /** One-way latency between a relay and the roster service, in nanoseconds. */
     long rosterLatency(int relay) {
-        return oneWayLatency(relay + 1L, ROSTER_LATENCY_KEY);
+        return oneWayLatencyByKeys(relay + 1L, ROSTER_LATENCY_KEY);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
@@ -27,12 +27,15 @@
 public abstract class Testbed implements BackendGroundTruth {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
+    /** Factor from a share to a percentage. */
+    private static final double PERCENT = 100;
     /**
-     * Longest backlog of the shared store, in nanoseconds; work beyond it is not queued. Without the limit, an
-     * overloaded store stays full forever, because it keeps working on set-ups that no backend waits for any more.
+     * Longest backlog of the store that all set-ups share (see {@link Scenario.SharedStore}), in nanoseconds; work
+     * beyond it is not queued. Without the limit, an overloaded store would stay full forever, because it would keep
+     * working on set-ups that no backend waits for any more.
      */
     private static final long MAX_STORE_BACKLOG = 3 * NANOS_PER_SECOND;
-    /** Share of the warm-up during which the long-lived connections are opened. */
+    /** The long-lived connections are opened during this first part of the warm-up, as a share of it. */
     private static final double LONG_LIVED_ARRIVAL_SHARE = 0.8;
     /** 2^64 divided by the golden ratio: the increment of SplitMix64, which spreads consecutive numbers. */
     private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
@@ -40,7 +43,10 @@
     private static final long BACKEND_LATENCY_KEY_OFFSET = 1_000_000L;
     /** Position of the association id in an OPEN line: the length of {@code "OPEN "}. */
     private static final int ASSOCIATION_ID_OFFSET = 5;
-    /** How long the front still sends clients to a relay after its planned stop was requested, in nanoseconds. */
+    /**
+     * How long the front-end load balancer still sends clients to a relay after its planned stop was requested, in
+     * nanoseconds.
+     */
     private static final long PLANNED_STOP_ROUTING_DELAY = 300 * NANOS_PER_MILLI;
     /**
      * Shortest time from the request of a planned stop to the restart, in nanoseconds. A stopping relay is killed 4
@@ -48,17 +54,22 @@
      */
     private static final long MIN_PLANNED_RESTART_DELAY = 4_500 * NANOS_PER_MILLI;
 
+    /** The scenario of this run. */
     public final Scenario scenario;
+    /** Clock and timer of this run. */
     public final Scheduler scheduler;
+
     public final InvariantChecker invariantChecker;
     public final MetricsRecorder metrics;
-    /** Source of all random decisions of the run. */
+    /** Source of all random decisions of the run; relays get seeds from it. */
     final SplittableRandom random;
 
     public final SimulatedRosterService rosterService = new SimulatedRosterService(this);
     /** All relays of the run, including stopped ones. */
     private final List<RelayInstance> relays = new ArrayList<>();
-    /** The relays that the front, which distributes the clients, sends new clients to. */
+    /**
+     * The relays that the front-end load balancer, which distributes the clients over the relays, sends new clients to.
+     */
     private final List<RelayInstance> routableRelays = new ArrayList<>();
 
     private final List<SimulatedBackend> backends = new ArrayList<>();
@@ -79,11 +90,14 @@
     /** When the shared store has finished all queued work. */
     private long storeBusyUntil;
 
+    /** Multiplies the shared store's speed; below 1 while it is slowed down. */
     private double storeSpeedFactor = 1;
+    /** Multiplies all arrival rates; above 1 during a burst. */
     private double arrivalRateFactor = 1;
     /** Share of new client sessions that use the first group regardless of the weights; 0 while no group is hot. */
     private double hotGroupShare;
 
+    /** Number of association ids generated so far. */
     private long associationSequence;
     /** Client connections that have not received a final answer yet. */
     private int waitingClientCount;
@@ -141,7 +155,7 @@
         return relays;
     }
 
-    /** Adds a relay that accepts clients, and lets the front send clients to it. */
+    /** Adds a relay that accepts clients, and lets the front-end load balancer send clients to it. */
     protected final void addRelay(RelayInstance relay) {
         relays.add(relay);
         routableRelays.add(relay);
@@ -166,7 +180,7 @@
         metrics.add(Series.AWAITING_ANSWER, waitingClientCount, sampledAt);
         metrics.add(
                 Series.MAX_UTILIZATION,
-                100
+                PERCENT
                         * backends.stream()
                                 .filter(SimulatedBackend::isListening)
                                 .mapToDouble(SimulatedBackend::utilization)
@@ -175,7 +189,7 @@
                 sampledAt);
         metrics.add(
                 Series.MEAN_UTILIZATION,
-                100
+                PERCENT
                         * backends.stream()
                                 .filter(SimulatedBackend::isListening)
                                 .mapToDouble(SimulatedBackend::utilization)
@@ -184,7 +198,7 @@
                 sampledAt);
         metrics.add(
                 Series.MAX_QUEUE_DELAY,
-                backends.stream().mapToLong(SimulatedBackend::queueDelay).max().orElse(0) / 1e6,
+                backends.stream().mapToLong(SimulatedBackend::queueDelay).max().orElse(0) / (double) NANOS_PER_MILLI,
                 sampledAt);
         metrics.add(
                 Series.MEAN_QUEUE_DELAY,
@@ -192,7 +206,7 @@
                                 .mapToLong(SimulatedBackend::queueDelay)
                                 .average()
                                 .orElse(0)
-                        / 1e6,
+                        / (double) NANOS_PER_MILLI,
                 sampledAt);
     }
 
@@ -219,7 +233,10 @@
                 });
     }
 
-    /** Starts a session of a new client. The bitwise or keeps client id and group from being 0, which means none. */
+    /**
+     * Starts a session of a new client. Client id and group have their lowest bit set, so that neither is 0, which
+     * means none.
+     */
     private void startSession(Workload workload, long lifetime) {
         long group = 0;
         if (cumulativeGroupWeights.length > 0) {
@@ -241,11 +258,12 @@
         return -StrictMath.log(1 - random.nextDouble());
     }
 
+    /** Generates an id that is unique in this run. */
     long nextAssociationId() {
         return SplitMix64.mix(++associationSequence * GOLDEN_GAMMA);
     }
 
-    /** The relay that the front sends the next client to, chosen at random; null if it knows none. */
+    /** The relay that the front-end load balancer sends the next client to, chosen at random; null if there is none. */
     RelayInstance selectRelay() {
         return routableRelays.isEmpty() ? null : routableRelays.get(random.nextInt(routableRelays.size()));
     }
@@ -255,6 +273,7 @@
         waitingClientCount += delta;
     }
 
+    /** Adds a client connection, so that {@link #findConnection} finds it. */
     void registerConnection(ClientConnection connection) {
         clientConnections.put(connection.association.id, connection);
     }
@@ -327,7 +346,8 @@
 
     /**
      * Called when a network partition between a relay and a backend begins or ends. The loopback testbed overrides it
-     * to keep connections from being established; the simulated testbed delays messages by {@link #reachableAt} alone.
+     * to prevent connections from being established; the simulated testbed only delays messages by
+     * {@link #reachableAt}.
      */
     protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean partitioned) {}
 
@@ -348,10 +368,10 @@
     }
 
     /**
-     * One-way latency between two endpoints, in nanoseconds: constant for each ordered pair of keys, and spread evenly
-     * over the scenario's range.
+     * One-way latency between two endpoints, in nanoseconds. It is constant for each ordered pair of keys; over all
+     * pairs it is spread evenly over the scenario's range.
      */
-    final long oneWayLatency(long firstKey, long secondKey) {
+    final long oneWayLatencyByKeys(long firstKey, long secondKey) {
         Scenario.Network network = scenario.network();
         return network.minLatency()
                 + Long.remainderUnsigned(
@@ -361,14 +381,15 @@
 
     /** One-way latency between a relay and a backend, given by their numbers, in nanoseconds. */
     public final long oneWayLatency(int relay, int backend) {
-        return oneWayLatency(relay + 1L, backend + BACKEND_LATENCY_KEY_OFFSET);
+        return oneWayLatencyByKeys(relay + 1L, backend + BACKEND_LATENCY_KEY_OFFSET);
     }
 
+    /** Key of a relay and a backend in {@link #partitionedUntil}. */
     private static long pairKey(RelayInstance relay, SimulatedBackend backend) {
         return (long) relay.number << 32 | backend.number;
     }
 
-    /** When messages between the two can pass: now, or the end of the partition between them. */
+    /** When messages between the two can pass: now, or at the end of the partition between them. */
     public final long reachableAt(RelayInstance relay, SimulatedBackend backend) {
         if (partitionedUntil.isEmpty()) {
             return now();
@@ -436,7 +457,8 @@
     }
 
     private void logEvent(String text) {
-        eventLog.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", (now() - scenario.warmUp()) / 1e9, text));
+        eventLog.add(String.format(
+                java.util.Locale.ROOT, "%.3f s: %s", (now() - scenario.warmUp()) / (double) NANOS_PER_SECOND, text));
     }
 
     /** Draws up to {@code count} distinct candidates at random. */
@@ -545,12 +567,12 @@
     }
 
     /**
-     * Stops randomly drawn relays and starts them again: by request if planned, else by a kill, which the front detects
-     * only after a delay.
+     * Stops randomly drawn relays and starts them again. They are asked to stop if planned; otherwise they are killed,
+     * which the front-end load balancer detects only after a delay.
      */
     private void injectRelayFault(Trouble fault, boolean planned) {
         List<RelayInstance> stoppedRelays =
-                drawSample(relays.stream().filter(r -> r.running).toList(), fault.relayCount());
+                drawSample(relays.stream().filter(relay -> relay.running).toList(), fault.relayCount());
         logEvent(fault.kind().tomlName() + " of " + stoppedRelays.size() + " relays begins");
         for (RelayInstance relay : stoppedRelays) {
             if (planned) {
@@ -576,6 +598,7 @@
         }
     }
 
+    /** Starts bad clients at exponential intervals until {@code endsAt}. */
     private void scheduleBadClients(Trouble fault, long endsAt) {
         scheduler.scheduleAfter((long) (exponential() * NANOS_PER_SECOND / fault.badClientRate()), () -> {
             if (now() < endsAt) {
@@ -599,7 +622,7 @@
         return unansweredBadClientCount;
     }
 
-    /** Number of bad clients sent so far. */
+    /** Number of bad clients started so far. */
     public int badClientCount() {
         return badClientCount;
     }
--- a/lab/src/test/java/ambertrestle/lab/InvariantCheckerTest.java
+++ b/lab/src/test/java/ambertrestle/lab/InvariantCheckerTest.java
@@ -54,7 +54,9 @@
         };
     }
 
-    /** The effect sends a client a line that starts with one of the words. Sockets of clients have positive numbers. */
+    /**
+     * Whether the effect sends a client a line that starts with one of the words. Client sockets have positive numbers.
+     */
     private static boolean isAnswer(Effect effect, String... firstWords) {
         return effect instanceof Effect.ExecuteCommand execute
                 && execute.command() instanceof NetworkCommand.Write write
@@ -72,7 +74,7 @@
     @Test
     void correctRelayViolatesNoInvariantUnderFaults() throws Exception {
         Map<Invariant, Long> counts =
-                violationCounts(TestScenarios.smallScenario(KILL + DRAIN + SILENT), Balancer::new, p -> p);
+                violationCounts(TestScenarios.smallScenario(KILL + DRAIN + SILENT), Balancer::new, relay -> relay);
         assertThat(counts.values()).containsOnly(0L);
     }
 
@@ -144,7 +146,7 @@
     /** The policy retries a binding association after a time-out, when the first dispatch may have run. */
     @Test
     void detectsBindingAssociationDispatchedTwice() throws Exception {
-        assertThat(violationCounts(TestScenarios.smallScenario(SILENT), RetryAfterTimeoutPolicy::new, p -> p)
+        assertThat(violationCounts(TestScenarios.smallScenario(SILENT), RetryAfterTimeoutPolicy::new, relay -> relay)
                         .get(Invariant.NO_DUPLICATE_EFFECT))
                 .isPositive();
     }
@@ -152,7 +154,7 @@
     /** The policy sheds a binding association that may have run, so the client tries again. */
     @Test
     void detectsShedOfBindingAssociationThatMayHaveRun() throws Exception {
-        assertThat(violationCounts(TestScenarios.smallScenario(SILENT), ShedInsteadOfForfeitPolicy::new, p -> p)
+        assertThat(violationCounts(TestScenarios.smallScenario(SILENT), ShedInsteadOfForfeitPolicy::new, relay -> relay)
                         .get(Invariant.NO_SHED_IF_MAY_HAVE_RUN))
                 .isPositive();
     }
@@ -160,7 +162,7 @@
     /** The policy treats draining backends as ready and keeps sending to them after the grace. */
     @Test
     void detectsDispatchToDrainedBackend() throws Exception {
-        assertThat(violationCounts(TestScenarios.smallScenario(DRAIN), IgnoreDrainPolicy::new, p -> p)
+        assertThat(violationCounts(TestScenarios.smallScenario(DRAIN), IgnoreDrainPolicy::new, relay -> relay)
                         .get(Invariant.NO_DISPATCH_TO_DRAINED_BACKEND))
                 .isPositive();
     }
@@ -168,12 +170,13 @@
     /** The policy sends everything to the newest backend, without slow start, when killed backends come back. */
     @Test
     void detectsColdBackendOverload() throws Exception {
-        assertThat(violationCounts(TestScenarios.smallScenario(KILL + BURST), NewestBackendOnlyPolicy::new, p -> p)
+        assertThat(violationCounts(
+                                TestScenarios.smallScenario(KILL + BURST), NewestBackendOnlyPolicy::new, relay -> relay)
                         .get(Invariant.NO_OVERLOAD_IN_SLOW_START))
                 .isPositive();
     }
 
-    /** Delegates to the production balancer; subclasses override what is to be faulty. */
+    /** Delegates to the production balancer; each subclass overrides one method with a faulty one. */
     private static class DelegatingPolicy implements BalancingPolicy {
         final Balancer balancer;
 
@@ -198,8 +201,8 @@
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
-            balancer.onRosterUpdate(entries, complete, cached, now);
+        public void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now) {
+            balancer.onRosterUpdate(entries, isComplete, isCached, now);
         }
 
         @Override
@@ -213,8 +216,8 @@
         }
 
         @Override
-        public void onConnectionEstablished(Association association, int dispatch, long setUpNanos, long now) {
-            balancer.onConnectionEstablished(association, dispatch, setUpNanos, now);
+        public void onConnectionEstablished(Association association, int dispatch, long setUpTime, long now) {
+            balancer.onConnectionEstablished(association, dispatch, setUpTime, now);
         }
 
         @Override
@@ -233,7 +236,7 @@
         }
     }
 
-    /** Reports time-outs to the balancer as failed connects, so that it assumes that the dispatch never ran. */
+    /** Reports time-outs to the balancer as failed connects, so that it assumes that the dispatches never ran. */
     private static final class RetryAfterTimeoutPolicy extends DelegatingPolicy {
         RetryAfterTimeoutPolicy(Map<String, String> settings, long seed, long now) {
             super(settings, seed, now);
@@ -272,7 +275,7 @@
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+        public void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now) {
             balancer.onRosterUpdate(
                     entries.stream()
                             .map(entry -> entry.stage() == Stage.DRAINING
@@ -286,15 +289,15 @@
                                             entry.instanceType())
                                     : entry)
                             .toList(),
-                    complete,
-                    cached,
+                    isComplete,
+                    isCached,
                     now);
         }
     }
 
     /**
-     * Gives the balancer a roster of one backend, the one that started last. The entry has start time 0, so the
-     * balancer takes the backend for warm.
+     * Gives the balancer a roster that lists only the backend that started last. The entry has start time 0, so the
+     * balancer applies no slow start to it.
      */
     private static final class NewestBackendOnlyPolicy extends DelegatingPolicy {
         /** Start times of the ready backends by their ids. */
@@ -305,7 +308,7 @@
         }
 
         @Override
-        public void onRosterUpdate(List<RosterEntry> entries, boolean complete, boolean cached, long now) {
+        public void onRosterUpdate(List<RosterEntry> entries, boolean isComplete, boolean isCached, long now) {
             entries.forEach(entry -> {
                 startTimes.remove(entry.backend());
                 if (entry.stage() == Stage.READY) {
@@ -317,7 +320,7 @@
                             .map(newest -> new RosterEntry(newest.getKey(), Stage.READY, 0, 0, 1, 0, 0))
                             .toList(),
                     true,
-                    cached,
+                    isCached,
                     now);
         }
     }
--- a/lab/src/test/java/ambertrestle/lab/TestScenarios.java
+++ b/lab/src/test/java/ambertrestle/lab/TestScenarios.java
@@ -42,7 +42,7 @@
         return Scenario.read(TomlDocument.parse("small.toml", SMALL + extraToml));
     }
 
-    /** The scenario files in the module's folder {@code scenarios}, sorted by path. */
+    /** The scenario files in the lab's folder {@code scenarios}, sorted by path. */
     static List<Path> shippedScenarios() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
             return files.filter(file -> file.toString().endsWith(".toml"))
