--- a/lab/src/main/java/ambertrestle/lab/loopback/BackendServer.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/BackendServer.java
@@ -38,37 +38,37 @@
     private static final long MIN_DELAY_NANOS = 1_000_000L;
 
     private final EventLoop loop;
-    private final LoopbackTestbed world;
-    private final SimulatedBackend node;
+    private final LoopbackTestbed testbed;
+    private final SimulatedBackend simulatedBackend;
     private final List<? extends RelayInstance> relays;
     private final int[] ports;
-    private final Channel[] servers;
+    private final Channel[] serverChannels;
     /** While a pair is cut off: connections that fill the backlog, so that the kernel drops every further SYN. */
-    private final List<List<java.nio.channels.SocketChannel>> fillers = new ArrayList<>();
+    private final List<List<java.nio.channels.SocketChannel>> backlogFillers = new ArrayList<>();
 
     BackendServer(
-            EventLoop loop, LoopbackTestbed world, SimulatedBackend backend, List<? extends RelayInstance> relays) {
+            EventLoop loop, LoopbackTestbed testbed, SimulatedBackend backend, List<? extends RelayInstance> relays) {
         this.loop = loop;
-        this.world = world;
+        this.testbed = testbed;
         this.relays = relays;
-        node = backend;
+        simulatedBackend = backend;
         ports = new int[relays.size()];
-        servers = new Channel[relays.size()];
-        relays.forEach(r -> fillers.add(new ArrayList<>()));
-        node.setLifecycleCallbacks(this::close, this::listen);
+        serverChannels = new Channel[relays.size()];
+        relays.forEach(relay -> backlogFillers.add(new ArrayList<>()));
+        simulatedBackend.setLifecycleCallbacks(this::stopListening, this::listen);
     }
 
-    String address(int relay) {
-        return HOST + ":" + ports[relay];
+    String address(int relayNumber) {
+        return HOST + ":" + ports[relayNumber];
     }
 
     CompletableFuture<Void> listen() {
-        List<CompletableFuture<Void>> all = new ArrayList<>();
+        List<CompletableFuture<Void>> pending = new ArrayList<>();
         for (int i = 0; i < ports.length; i++) {
-            int relay = i;
-            CompletableFuture<Void> listening = new CompletableFuture<>();
-            all.add(listening);
-            ChannelFuture bound = new ServerBootstrap()
+            int relayNumber = i;
+            CompletableFuture<Void> bindResult = new CompletableFuture<>();
+            pending.add(bindResult);
+            ChannelFuture bindFuture = new ServerBootstrap()
                     .group(loop)
                     .channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -80,90 +80,91 @@
                             channel.pipeline()
                                     .addLast(
                                             new LineBasedFrameDecoder(MAX_LINE_BYTES),
-                                            new Link(channel, relays.get(relay)).new Handler());
+                                            new RelayConnection(channel, relays.get(relayNumber)).new Handler());
                         }
                     })
                     .bind(HOST, ports[i]);
-            bound.addListener(f -> {
-                if (f.isSuccess()) {
-                    servers[relay] = bound.channel();
-                    ports[relay] = ((InetSocketAddress) bound.channel().localAddress()).getPort();
-                    listening.complete(null);
+            bindFuture.addListener(future -> {
+                if (future.isSuccess()) {
+                    serverChannels[relayNumber] = bindFuture.channel();
+                    ports[relayNumber] =
+                            ((InetSocketAddress) bindFuture.channel().localAddress()).getPort();
+                    bindResult.complete(null);
                 } else {
-                    listening.completeExceptionally(f.cause());
+                    bindResult.completeExceptionally(future.cause());
                 }
             });
         }
-        return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new));
+        return CompletableFuture.allOf(pending.toArray(CompletableFuture[]::new));
     }
 
     /** New connections are refused; those that are up are the node's to reset. */
-    private void close() {
-        for (int i = 0; i < servers.length; i++) {
-            servers[i].close();
-            closeFillers(i);
+    private void stopListening() {
+        for (int i = 0; i < serverChannels.length; i++) {
+            serverChannels[i].close();
+            closeBacklogFillers(i);
         }
     }
 
-    private void closeFillers(int relay) {
-        for (java.nio.channels.SocketChannel filler : fillers.get(relay)) {
+    private void closeBacklogFillers(int relayNumber) {
+        for (java.nio.channels.SocketChannel filler : backlogFillers.get(relayNumber)) {
             try {
                 filler.close();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
-        fillers.get(relay).clear();
+        backlogFillers.get(relayNumber).clear();
     }
 
     /** Cut off, no connection from that relay comes up; healed, those that still try do. */
-    void setPartitioned(int relay, boolean off) {
-        servers[relay].config().setAutoRead(!off);
+    void setPartitioned(int relayNumber, boolean partitioned) {
+        serverChannels[relayNumber].config().setAutoRead(!partitioned);
         try {
-            for (int i = 0; off && i <= BACKLOG; i++) {
+            for (int i = 0; partitioned && i <= BACKLOG; i++) {
                 java.nio.channels.SocketChannel filler = java.nio.channels.SocketChannel.open();
                 filler.configureBlocking(false);
-                filler.connect(new InetSocketAddress(HOST, ports[relay]));
-                fillers.get(relay).add(filler);
+                filler.connect(new InetSocketAddress(HOST, ports[relayNumber]));
+                backlogFillers.get(relayNumber).add(filler);
             }
-            if (!off) {
-                closeFillers(relay);
+            if (!partitioned) {
+                closeBacklogFillers(relayNumber);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private final class Link extends BackendConnection {
+    private final class RelayConnection extends BackendConnection {
         private final Channel channel;
         private final RelayInstance relay;
-        private final long delay;
+        private final long oneWayDelayNanos;
         private boolean isFirstLine = true;
 
-        Link(Channel channel, RelayInstance relay) {
+        RelayConnection(Channel channel, RelayInstance relay) {
             this.channel = channel;
             this.relay = relay;
-            long way = world.oneWayLatency(relay.number, node.number);
-            delay = way >= MIN_DELAY_NANOS ? way : 0;
+            long latency = testbed.oneWayLatency(relay.number, simulatedBackend.number);
+            oneWayDelayNanos = latency >= MIN_DELAY_NANOS ? latency : 0;
         }
 
         /** Danger: while a partition holds, what the relay wrote is on its way and must not be acted on. */
-        private void runOnDelivery(Runnable thing) {
-            long at = world.reachableAt(relay, node) + delay;
-            if (at <= world.now()) {
-                thing.run();
+        private void runWhenDelivered(Runnable action) {
+            long deliveredAt = testbed.reachableAt(relay, simulatedBackend) + oneWayDelayNanos;
+            if (deliveredAt <= testbed.now()) {
+                action.run();
             } else {
-                world.scheduler.scheduleAt(at, thing);
+                testbed.scheduler.scheduleAt(deliveredAt, action);
             }
         }
 
         private void onLineReceived(byte[] line) {
             if (isFirstLine) {
                 isFirstLine = false;
-                world.onDispatchSent(relay, node);
-                node.onOpenRequest(this, line);
+                testbed.onDispatchSent(relay, simulatedBackend);
+                simulatedBackend.onOpenRequest(this, line);
             } else {
-                node.onLine(this);
+                simulatedBackend.onLine(this);
             }
             // Danger: what a partition held back may come after its connection's end, which nobody would tell again.
             if (!channel.isActive()) {
@@ -175,7 +176,7 @@
             if (dispatch != null) {
                 dispatch.markEnded();
             }
-            node.onClosed(this);
+            simulatedBackend.onClosed(this);
         }
 
         @Override
@@ -185,12 +186,12 @@
 
         @Override
         protected void sendLine(BackendMessage line) {
-            runOnDelivery(() -> channel.writeAndFlush(Unpooled.wrappedBuffer(line.raw())));
+            runWhenDelivered(() -> channel.writeAndFlush(Unpooled.wrappedBuffer(line.raw())));
         }
 
         @Override
         protected void doClose() {
-            runOnDelivery(channel::close);
+            runWhenDelivered(channel::close);
         }
 
         @Override
@@ -205,13 +206,13 @@
         private final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
             @Override
             public void channelActive(ChannelHandlerContext context) {
-                node.onConnected(Link.this);
+                simulatedBackend.onConnected(RelayConnection.this);
             }
 
             @Override
             protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
                 byte[] bytes = ByteBufUtil.getBytes(line);
-                runOnDelivery(() -> onLineReceived(bytes));
+                runWhenDelivered(() -> onLineReceived(bytes));
             }
 
             @Override
@@ -220,7 +221,7 @@
             }
 
             @Override
-            public void exceptionCaught(ChannelHandlerContext context, Throwable why) {
+            public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
                 // The peer reset it; what that means is told when the channel is gone.
                 context.close();
             }
--- a/lab/src/main/java/ambertrestle/lab/loopback/CrashConsistencyCheck.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/CrashConsistencyCheck.java
@@ -45,18 +45,18 @@
             long maxAge,
             long meanAge,
             List<String> failures) {
-        private static Report failure(int number, String what) {
-            return new Report(1, 0, 0, 0, 0, 0, List.of("round " + number + ": " + what));
+        private static Report failure(int round, String message) {
+            return new Report(1, 0, 0, 0, 0, 0, List.of("round " + round + ": " + message));
         }
     }
 
-    private final Path dir;
+    private final Path workingDirectory;
     private final long interval;
     private final int backends;
     private final int pins;
 
-    public CrashConsistencyCheck(Path dir, long interval, int backends, int pins) {
-        this.dir = dir;
+    public CrashConsistencyCheck(Path workingDirectory, long interval, int backends, int pins) {
+        this.workingDirectory = workingDirectory;
         this.interval = interval;
         this.backends = backends;
         this.pins = pins;
@@ -67,33 +67,33 @@
         long interval = Long.parseLong(args[1]) * MS;
         int backends = Integer.parseInt(args[2]);
         int pins = Integer.parseInt(args[3]);
-        List<LogMessage> said = new ArrayList<>();
-        StateStore keeper = StateStore.open(
+        List<LogMessage> logMessages = new ArrayList<>();
+        StateStore store = StateStore.open(
                 new PersistenceConfiguration(Path.of(args[0]), interval, MAX_AGE, 64 << 20, 2 * SECOND),
                 "killed",
-                said);
-        keeper.restore(now(), said);
-        StateChanges hand = createFullState(backends, pins);
-        for (long round = 0; said.isEmpty(); round++) {
-            long began = System.nanoTime();
-            LogMessage failed = keeper.persist(hand, "d:1", now(), now());
-            if (failed != null) {
-                throw new IOException(failed.text());
+                logMessages);
+        store.restore(now(), logMessages);
+        StateChanges changes = createFullState(backends, pins);
+        for (long round = 0; logMessages.isEmpty(); round++) {
+            long writeStart = System.nanoTime();
+            LogMessage failure = store.persist(changes, "d:1", now(), now());
+            if (failure != null) {
+                throw new IOException(failure.text());
             }
             if (round == 0) {
                 System.out.println("writes");
             }
-            hand = new StateChanges();
-            hand.add(new LearnedState(
+            changes = new StateChanges();
+            changes.add(new LearnedState(
                     1,
                     new LearnedState.RelayStatistics(round, 1, 1, 1, 1, 0),
                     List.of(),
                     List.of(new Pin(round % pins, 1, now())),
                     false));
             // As the daemon: twice an interval, from the beginning of one write to that of the next.
-            Thread.sleep(Math.max(0, (interval / 2 - (System.nanoTime() - began)) / MS));
+            Thread.sleep(Math.max(0, (interval / 2 - (System.nanoTime() - writeStart)) / MS));
         }
-        throw new IOException(said.get(0).text());
+        throw new IOException(logMessages.get(0).text());
     }
 
     private static long now() {
@@ -101,61 +101,62 @@
     }
 
     private static StateChanges createFullState(int backends, int pins) {
-        List<RosterMessage.Entry> lines = new ArrayList<>();
-        List<BackendStatistics> judged = new ArrayList<>();
+        List<RosterMessage.Entry> entries = new ArrayList<>();
+        List<BackendStatistics> backendStatistics = new ArrayList<>();
         for (int b = 0; b < backends; b++) {
             String name = "s-" + b;
-            lines.add(new RosterMessage.Entry(
+            entries.add(new RosterMessage.Entry(
                     name, "10.0." + b / 250 + "." + b % 250 + ":8000", Stage.READY, "a", "m2", 3, 1, 0));
-            judged.add(new BackendStatistics(RosterMessage.backendId(name), 0, now(), 1, 0.5, 0, 0, 0, 0));
+            backendStatistics.add(new BackendStatistics(RosterMessage.backendId(name), 0, now(), 1, 0.5, 0, 0, 0, 0));
         }
-        List<Pin> all = new ArrayList<>();
+        List<Pin> allPins = new ArrayList<>();
         for (int p = 0; p < pins; p++) {
-            all.add(new Pin(p, judged.get(p % backends).backend(), Pin.IN_USE));
+            allPins.add(new Pin(p, backendStatistics.get(p % backends).backend(), Pin.IN_USE));
         }
-        StateChanges hand = new StateChanges();
-        hand.add(new RosterMessage(1, true, lines));
-        hand.add(new LearnedState(1, LearnedState.RelayStatistics.EMPTY, judged, all, false));
-        return hand;
+        StateChanges changes = new StateChanges();
+        changes.add(new RosterMessage(1, true, entries));
+        changes.add(new LearnedState(1, LearnedState.RelayStatistics.EMPTY, backendStatistics, allPins, false));
+        return changes;
     }
 
     /** So many kills, some side by side, each in a folder of its own. */
-    public Report run(int kills, int sideBySide, long seed) throws IOException, InterruptedException {
-        ExecutorService pool = Executors.newFixedThreadPool(sideBySide);
+    public Report run(int kills, int concurrency, long seed) throws IOException, InterruptedException {
+        ExecutorService pool = Executors.newFixedThreadPool(concurrency);
         List<Future<Report>> rounds = new ArrayList<>();
-        SplittableRandom chance = new SplittableRandom(seed);
-        for (int k = 0; k < kills; k++) {
-            int number = k;
+        SplittableRandom random = new SplittableRandom(seed);
+        for (int i = 0; i < kills; i++) {
+            int number = i;
             // Over two writes and the pause between them, so that every part of one is met.
-            long after = chance.nextLong(interval);
-            rounds.add(pool.submit((Callable<Report>) () -> killOneWriter(number, after)));
+            long killDelay = random.nextLong(interval);
+            rounds.add(pool.submit((Callable<Report>) () -> killOneWriter(number, killDelay)));
         }
         pool.shutdown();
-        int whole = 0;
-        int halves = 0;
-        int passedOver = 0;
-        long oldest = 0;
-        long sum = 0;
-        List<String> faults = new ArrayList<>();
+        int intactFiles = 0;
+        int partialFiles = 0;
+        int skippedFiles = 0;
+        long maxAge = 0;
+        long ageSum = 0;
+        List<String> failures = new ArrayList<>();
         for (Future<Report> round : rounds) {
             try {
-                Report f = round.get();
-                whole += f.intactFiles;
-                halves += f.partialFiles;
-                passedOver += f.skippedFiles;
-                oldest = Math.max(oldest, f.maxAge);
-                sum += f.maxAge;
-                faults.addAll(f.failures);
+                Report report = round.get();
+                intactFiles += report.intactFiles;
+                partialFiles += report.partialFiles;
+                skippedFiles += report.skippedFiles;
+                maxAge = Math.max(maxAge, report.maxAge);
+                ageSum += report.maxAge;
+                failures.addAll(report.failures);
             } catch (ExecutionException e) {
-                faults.add(String.valueOf(e.getCause()));
+                failures.add(String.valueOf(e.getCause()));
             }
         }
         pool.awaitTermination(1, TimeUnit.SECONDS);
-        return new Report(kills, whole, halves, passedOver, oldest, kills == 0 ? 0 : sum / kills, faults);
+        return new Report(
+                kills, intactFiles, partialFiles, skippedFiles, maxAge, kills == 0 ? 0 : ageSum / kills, failures);
     }
 
-    private Report killOneWriter(int number, long after) throws IOException, InterruptedException {
-        Path folder = Directories.createEmpty(dir.resolve("kill-" + number));
+    private Report killOneWriter(int number, long killDelay) throws IOException, InterruptedException {
+        Path stateDirectory = Directories.createEmpty(workingDirectory.resolve("kill-" + number));
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
@@ -164,64 +165,68 @@
                         "-cp",
                         System.getProperty("java.class.path"),
                         CrashConsistencyCheck.class.getName(),
-                        folder.toString(),
+                        stateDirectory.toString(),
                         Long.toString(interval / MS),
                         Integer.toString(backends),
                         Integer.toString(pins))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.PIPE)
                 .start();
-        try (InputStream out = process.getInputStream()) {
-            byte[] first = new byte[6];
-            if (out.readNBytes(first, 0, 6) < 6 || !new String(first, StandardCharsets.US_ASCII).equals("writes")) {
+        try (InputStream output = process.getInputStream()) {
+            byte[] signal = new byte[6];
+            if (output.readNBytes(signal, 0, 6) < 6
+                    || !new String(signal, StandardCharsets.US_ASCII).equals("writes")) {
                 return Report.failure(
                         number,
-                        "the writer said " + new String(first, StandardCharsets.US_ASCII)
-                                + new String(out.readAllBytes(), StandardCharsets.UTF_8));
+                        "the writer said " + new String(signal, StandardCharsets.US_ASCII)
+                                + new String(output.readAllBytes(), StandardCharsets.UTF_8));
             }
             // Its first writes are slow, as its code is not yet compiled; some are let pass.
             Thread.sleep(2 * interval / MS);
-            long until = System.nanoTime() + after;
-            while (System.nanoTime() < until) {
+            long killTime = System.nanoTime() + killDelay;
+            while (System.nanoTime() < killTime) {
                 Thread.onSpinWait();
             }
         } finally {
             process.destroyForcibly();
         }
-        long killed = now();
+        long killedAt = now();
         if (!process.waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             return Report.failure(number, "the writer did not die");
         }
-        int halves;
-        try (Stream<Path> files = Files.list(folder)) {
-            halves = (int) files.filter(f -> f.toString().endsWith(".new")).count();
+        int partialFiles;
+        try (Stream<Path> files = Files.list(stateDirectory)) {
+            partialFiles =
+                    (int) files.filter(file -> file.toString().endsWith(".new")).count();
         }
-        List<LogMessage> said = new ArrayList<>();
-        StateSnapshot picture;
-        try (StateStore keeper = StateStore.open(
-                new PersistenceConfiguration(folder, interval, MAX_AGE, 64 << 20, 2 * SECOND), "killed", said)) {
-            picture = keeper.restore(now(), said);
+        List<LogMessage> logMessages = new ArrayList<>();
+        StateSnapshot snapshot;
+        try (StateStore store = StateStore.open(
+                new PersistenceConfiguration(stateDirectory, interval, MAX_AGE, 64 << 20, 2 * SECOND),
+                "killed",
+                logMessages)) {
+            snapshot = store.restore(now(), logMessages);
         }
-        List<String> faults = new ArrayList<>();
-        if (picture == null) {
-            faults.add("round " + number + ": no whole file; " + said);
-        } else if (picture.roster().entries().size() != backends
-                || picture.learnedState().pins().size() != pins) {
-            faults.add("round " + number + ": whole, and yet "
-                    + picture.roster().entries().size() + " backends and "
-                    + picture.learnedState().pins().size() + " pins");
+        List<String> failures = new ArrayList<>();
+        if (snapshot == null) {
+            failures.add("round " + number + ": no whole file; " + logMessages);
+        } else if (snapshot.roster().entries().size() != backends
+                || snapshot.learnedState().pins().size() != pins) {
+            failures.add("round " + number + ": whole, and yet "
+                    + snapshot.roster().entries().size() + " backends and "
+                    + snapshot.learnedState().pins().size() + " pins");
         }
         // What is at fault stays, to be looked at.
-        if (faults.isEmpty()) {
-            Files.delete(Directories.createEmpty(folder));
+        if (failures.isEmpty()) {
+            Files.delete(Directories.createEmpty(stateDirectory));
         }
         return new Report(
                 1,
-                picture == null ? 0 : 1,
-                halves,
-                said.size(),
-                picture == null ? 0 : killed - picture.takenAt(),
+                snapshot == null ? 0 : 1,
+                partialFiles,
+                logMessages.size(),
+                snapshot == null ? 0 : killedAt - snapshot.takenAt(),
                 0,
-                faults);
+                failures);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/loopback/Directories.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/Directories.java
@@ -10,13 +10,13 @@
     private Directories() {}
 
     /** Makes it where it is not there. */
-    static Path createEmpty(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        try (Stream<Path> files = Files.list(folder)) {
+    static Path createEmpty(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        try (Stream<Path> files = Files.list(directory)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
-        return folder;
+        return directory;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/loopback/EventLoopScheduler.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/EventLoopScheduler.java
@@ -28,7 +28,7 @@
         startNanoTime = System.nanoTime();
         startUnixTime = System.currentTimeMillis() * 1_000_000;
         nextTickAt = now() + TICK_MILLIS * 1_000_000;
-        vertx.setPeriodic(TICK_MILLIS, t -> {
+        vertx.setPeriodic(TICK_MILLIS, timerId -> {
             lateness.recordValue(Math.min(60_000_000_000L, Math.max(0, now() - nextTickAt)));
             nextTickAt = Math.max(now(), nextTickAt) + TICK_MILLIS * 1_000_000;
         });
@@ -40,12 +40,12 @@
     }
 
     @Override
-    public void scheduleAt(long time, Runnable thing) {
-        long wait = time - now();
-        if (wait <= 0) {
-            loop.runOnContext(v -> thing.run());
+    public void scheduleAt(long time, Runnable task) {
+        long delay = time - now();
+        if (delay <= 0) {
+            loop.runOnContext(v -> task.run());
         } else {
-            vertx.setTimer(Math.max(1, (wait + 999_999) / 1_000_000), t -> thing.run());
+            vertx.setTimer(Math.max(1, (delay + 999_999) / 1_000_000), t -> task.run());
         }
     }
 
--- a/lab/src/main/java/ambertrestle/lab/loopback/LoopbackTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/LoopbackTestbed.java
@@ -42,20 +42,26 @@
     private final Context loop;
     private final EventLoopScheduler eventLoopClock;
     private final Path jar;
-    private final Path dir;
+    private final Path workingDirectory;
     private final List<RelayProcess> relays = new ArrayList<>();
     private final Map<String, BackendServer> backendServers = new HashMap<>();
     private final CompletableFuture<Boolean> completion = new CompletableFuture<>();
-    private final List<String> unexpectedExits = new ArrayList<>();
-    private Map<String, Long> account = Map.of();
+    private final List<String> failedStarts = new ArrayList<>();
+    private Map<String, Long> finalConnectionTotals = Map.of();
     private long maxResidentKilobytes;
 
     private LoopbackTestbed(
-            Scenario scenario, long seed, Path jar, Path dir, Vertx vertx, Context loop, EventLoopScheduler clock) {
+            Scenario scenario,
+            long seed,
+            Path jar,
+            Path workingDirectory,
+            Vertx vertx,
+            Context loop,
+            EventLoopScheduler clock) {
         super(scenario, clock, TIMING_TOLERANCE, seed);
         this.seed = seed;
         this.jar = jar;
-        this.dir = dir;
+        this.workingDirectory = workingDirectory;
         this.vertx = vertx;
         this.loop = loop;
         eventLoopClock = clock;
@@ -64,11 +70,12 @@
     }
 
     /** `jar`: the daemon's; `dir`: where configurations and logs of the relays go. */
-    public static LoopbackTestbed create(Scenario scenario, long seed, Path jar, Path dir) throws IOException {
+    public static LoopbackTestbed create(Scenario scenario, long seed, Path jar, Path workingDirectory)
+            throws IOException {
         if (!Files.isRegularFile(jar)) {
             throw new IOException(jar + " is not there: build the relay first, or name its jar by --jar");
         }
-        Files.createDirectories(dir);
+        Files.createDirectories(workingDirectory);
         Vertx vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         Context loop = vertx.getOrCreateContext();
@@ -76,19 +83,19 @@
                 scenario,
                 seed,
                 jar.toAbsolutePath(),
-                dir.toAbsolutePath(),
+                workingDirectory.toAbsolutePath(),
                 vertx,
                 loop,
                 new EventLoopScheduler(vertx, loop));
     }
 
     /** Plays all in real time. False when told to stop before the end. */
-    public boolean run(IntPredicate second) throws IOException, InterruptedException {
+    public boolean run(IntPredicate continueAfterSecond) throws IOException, InterruptedException {
         try {
             for (int i = 0; i < scenario.relays().count(); i++) {
-                relays.add(new RelayProcess(this, i, jar, dir));
+                relays.add(new RelayProcess(this, i, jar, workingDirectory));
             }
-            loop.runOnContext(v -> prepare(second));
+            loop.runOnContext(v -> startServersAndRelays(continueAfterSecond));
             return completion.get(scenario.endTime() / SECOND + 2 * START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the run on sockets failed: " + e, e);
@@ -107,43 +114,43 @@
         }
     }
 
-    private void prepare(IntPredicate second) {
-        List<Future<?>> all = new ArrayList<>();
-        for (SimulatedBackend b : backends()) {
-            all.add(Future.fromCompletionStage(listen(b)));
+    private void startServersAndRelays(IntPredicate continueAfterSecond) {
+        List<Future<?>> pendingListens = new ArrayList<>();
+        for (SimulatedBackend backend : backends()) {
+            pendingListens.add(Future.fromCompletionStage(listen(backend)));
         }
-        relays.forEach(r -> all.add(r.rosterServer.listen()));
-        Future.all(all).onFailure(completion::completeExceptionally).onSuccess(v -> {
-            int[] ready = new int[1];
+        relays.forEach(relay -> pendingListens.add(relay.rosterServer.listen()));
+        Future.all(pendingListens).onFailure(completion::completeExceptionally).onSuccess(v -> {
+            int[] readyRelays = new int[1];
             for (RelayProcess relay : relays) {
                 relay.start(() -> {
                     addRelay(relay);
-                    if (++ready[0] == relays.size()) {
+                    if (++readyRelays[0] == relays.size()) {
                         eventLoopClock.start();
                         scheduleArrivalsAndFaults();
-                        scheduleSample(1, second);
+                        scheduleSample(1, continueAfterSecond);
                     }
                 });
             }
         });
     }
 
-    private CompletableFuture<Void> listen(SimulatedBackend b) {
-        BackendServer made = new BackendServer(((ContextInternal) loop).nettyEventLoop(), this, b, relays);
-        backendServers.put(b.name, made);
-        return made.listen();
+    private CompletableFuture<Void> listen(SimulatedBackend backend) {
+        BackendServer server = new BackendServer(((ContextInternal) loop).nettyEventLoop(), this, backend, relays);
+        backendServers.put(backend.name, server);
+        return server.listen();
     }
 
     @Override
-    protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean off) {
+    protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean partitioned) {
         // Danger: one that dies while it is cut off has no listening socket left to cut.
         if (backend.isListening()) {
-            backendServers.get(backend.name).setPartitioned(relay.number, off);
+            backendServers.get(backend.name).setPartitioned(relay.number, partitioned);
         }
     }
 
-    private void scheduleSample(int n, IntPredicate second) {
-        scheduler.scheduleAt(Math.min(scenario.endTime(), n * SECOND), () -> {
+    private void scheduleSample(int second, IntPredicate continueAfterSecond) {
+        scheduler.scheduleAt(Math.min(scenario.endTime(), second * SECOND), () -> {
             sampleGauges();
             maxResidentKilobytes = Math.max(
                     maxResidentKilobytes,
@@ -151,12 +158,12 @@
                             .mapToLong(RelayProcess::residentKilobytes)
                             .max()
                             .orElse(0));
-            boolean on = second.test(n);
-            if (!on || n * SECOND >= scenario.endTime()) {
-                account = super.connectionTotals();
-                completion.complete(on);
+            boolean continues = continueAfterSecond.test(second);
+            if (!continues || second * SECOND >= scenario.endTime()) {
+                finalConnectionTotals = super.connectionTotals();
+                completion.complete(continues);
             } else {
-                scheduleSample(n + 1, second);
+                scheduleSample(second + 1, continueAfterSecond);
             }
         });
     }
@@ -164,17 +171,17 @@
     /** As it stood at the end of the run, before its relays were ended. */
     @Override
     public Map<String, Long> connectionTotals() {
-        return account;
+        return finalConnectionTotals;
     }
 
     @Override
-    protected void onRosterFailureModeChanged(Scenario.RosterFailureMode how) {
-        relays.forEach(r -> r.rosterServer.setFailureMode(how));
+    protected void onRosterFailureModeChanged(Scenario.RosterFailureMode failureMode) {
+        relays.forEach(relay -> relay.rosterServer.setFailureMode(failureMode));
     }
 
     @Override
-    protected void onBackendJoined(SimulatedBackend b) {
-        listen(b);
+    protected void onBackendJoined(SimulatedBackend backend) {
+        listen(backend);
     }
 
     @Override
@@ -187,13 +194,13 @@
         return ((RelayProcess) relay).drainNotifiedAt(backend.name);
     }
 
-    String address(String backend, int relay) {
-        return backendServers.get(backend).address(relay);
+    String address(String backend, int relayNumber) {
+        return backendServers.get(backend).address(relayNumber);
     }
 
     /** A relay's process is gone though nobody ended it, or does not answer. */
-    void onRelayExited(RelayProcess relay, boolean alive) {
-        unexpectedExits.add(relay.name + (alive ? " was given up" : " ended by itself"));
+    void onRelayStartFailed(RelayProcess relay, boolean alive) {
+        failedStarts.add(relay.name + (alive ? " was given up" : " ended by itself"));
     }
 
     /** Whether this process got too little CPU for its figures to mean anything. */
@@ -209,7 +216,7 @@
             lines.add(String.format(Locale.ROOT, "%s: %.2f s of CPU", relay.name, relay.totalCpuNanos() / 1e9));
         }
         lines.add("most resident memory of a relay: " + maxResidentKilobytes / 1024 + " MB");
-        lines.addAll(unexpectedExits);
+        lines.addAll(failedStarts);
         return lines;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayLauncher.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayLauncher.java
@@ -22,25 +22,25 @@
     }
 
     /** `operator`: its operator file, or null. */
-    static Process start(Path jar, Path configuration, Path operator, Path log) throws IOException {
-        List<String> words = new ArrayList<>(List.of(
+    static Process start(Path jar, Path configuration, Path operatorFile, Path log) throws IOException {
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
                 "-Xmx256m",
                 "-Dvertx.disableDnsResolver=true"));
         // As deployed, with the archive of classes where the build has left one beside the jar.
-        Path archive = jar.resolveSibling("ambertrestle.jsa");
-        if (Files.isRegularFile(archive)
-                && Files.getLastModifiedTime(archive).compareTo(Files.getLastModifiedTime(jar)) > 0) {
-            words.add("-XX:SharedArchiveFile=" + archive);
+        Path classDataArchive = jar.resolveSibling("ambertrestle.jsa");
+        if (Files.isRegularFile(classDataArchive)
+                && Files.getLastModifiedTime(classDataArchive).compareTo(Files.getLastModifiedTime(jar)) > 0) {
+            command.add("-XX:SharedArchiveFile=" + classDataArchive);
         }
-        words.addAll(List.of("-jar", jar.toString(), "serve"));
-        if (operator != null) {
-            words.addAll(List.of("--operator", operator.toString()));
+        command.addAll(List.of("-jar", jar.toString(), "serve"));
+        if (operatorFile != null) {
+            command.addAll(List.of("--operator", operatorFile.toString()));
         }
-        ProcessBuilder builder = new ProcessBuilder(words);
-        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().keySet().removeIf(variable -> variable.startsWith("BALANCER_"));
         builder.environment().put("BALANCER_CONFIG", configuration.toString());
         return builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
@@ -48,9 +48,9 @@
     }
 
     /** A port that nothing listens on now. */
-    static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-            return free.getLocalPort();
+    static int findFreePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+            return socket.getLocalPort();
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayOverheadBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayOverheadBenchmark.java
@@ -38,28 +38,29 @@
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     private final int backendPort;
     private final int relayPort;
-    private final Process process;
+    private final Process relayProcess;
     private long lastId;
-    private final Histogram[] openings = {histogram(), histogram()};
-    private final Histogram[] lines = {histogram(), histogram()};
+    private final Histogram[] openingLatencies = {newHistogram(), newHistogram()};
+    private final Histogram[] lineLatencies = {newHistogram(), newHistogram()};
 
-    private static Histogram histogram() {
+    private static Histogram newHistogram() {
         return new Histogram(60_000_000_000L, 3);
     }
 
-    public RelayOverheadBenchmark(Scenario scenario, Path jar, Path dir) throws IOException, InterruptedException {
+    public RelayOverheadBenchmark(Scenario scenario, Path jar, Path workingDirectory)
+            throws IOException, InterruptedException {
         try {
             backendPort = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
-                    .connectHandler(s -> s.handler(RecordParser.newDelimited(
+                    .connectHandler(socket -> socket.handler(RecordParser.newDelimited(
                             "\r\n",
-                            line -> s.write(Buffer.buffer(
+                            line -> socket.write(Buffer.buffer(
                                     line.length() > 4 && line.getByte(0) == 'O' ? "UP 1\r\n" : "R\r\n")))))
                     .listen(0, HOST)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(10, TimeUnit.SECONDS)
                     .actualPort();
-            JsonObject list = new JsonObject()
+            JsonObject roster = new JsonObject()
                     .put("index", 1)
                     .put("snapshot", true)
                     .put(
@@ -71,27 +72,27 @@
                                             scenario.fleets().get(0),
                                             "in_service",
                                             0)));
-            int roster = vertx.createHttpServer()
-                    .requestHandler(r -> {
-                        HttpServerResponse answer = r.response().setChunked(true);
-                        answer.write(list.encode() + "\n");
-                        long still = vertx.setPeriodic(1_000, t -> answer.write("\n"));
-                        answer.closeHandler(v -> vertx.cancelTimer(still));
+            int rosterPort = vertx.createHttpServer()
+                    .requestHandler(request -> {
+                        HttpServerResponse response = request.response().setChunked(true);
+                        response.write(roster.encode() + "\n");
+                        long keepAliveTimer = vertx.setPeriodic(1_000, t -> response.write("\n"));
+                        response.closeHandler(v -> vertx.cancelTimer(keepAliveTimer));
                     })
                     .listen(0, HOST)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(10, TimeUnit.SECONDS)
                     .actualPort();
-            relayPort = RelayLauncher.freePort();
-            Files.createDirectories(dir);
-            Path file = dir.resolve("cost.json");
+            relayPort = RelayLauncher.findFreePort();
+            Files.createDirectories(workingDirectory);
+            Path configurationFile = workingDirectory.resolve("cost.json");
             Files.writeString(
-                    file,
+                    configurationFile,
                     RelayConfigurationJson.create(
-                                    scenario, "cost", HOST + ":" + relayPort, HOST + ":" + roster, 1, list)
+                                    scenario, "cost", HOST + ":" + relayPort, HOST + ":" + rosterPort, 1, roster)
                             .encodePrettily());
-            process = RelayLauncher.start(jar, file, dir.resolve("cost.log"));
+            relayProcess = RelayLauncher.start(jar, configurationFile, workingDirectory.resolve("cost.log"));
             awaitPong();
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the stand-ins could not listen: " + e, e);
@@ -99,10 +100,10 @@
     }
 
     private void awaitPong() throws IOException, InterruptedException {
-        for (int tries = 0; tries < 400; tries++) {
-            try (Socket s = connect(relayPort)) {
-                s.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
-                if (readLine(new BufferedInputStream(s.getInputStream())).equals("PONG")) {
+        for (int attempt = 0; attempt < 400; attempt++) {
+            try (Socket socket = connect(relayPort)) {
+                socket.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
+                if (readLine(new BufferedInputStream(socket.getInputStream())).equals("PONG")) {
                     return;
                 }
             } catch (IOException e) {
@@ -113,98 +114,100 @@
     }
 
     private static Socket connect(int port) throws IOException {
-        Socket s = new Socket(HOST, port);
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(READ_TIMEOUT_MILLIS);
-        return s;
+        Socket socket = new Socket(HOST, port);
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+        return socket;
     }
 
     private static String readLine(InputStream in) throws IOException {
-        StringBuilder out = new StringBuilder();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) {
+        StringBuilder line = new StringBuilder();
+        for (int next = in.read(); next != '\n'; next = in.read()) {
+            if (next < 0) {
                 throw new EOFException("the connection ended");
             }
-            out.append((char) c);
+            line.append((char) next);
         }
-        return out.toString().strip();
+        return line.toString().strip();
     }
 
-    private void measureConnection(int through, int each, boolean counts) throws IOException {
-        long began = System.nanoTime();
-        try (Socket s = connect(through == 1 ? relayPort : backendPort)) {
-            InputStream in = new BufferedInputStream(s.getInputStream());
-            s.getOutputStream()
+    private void measureConnection(int path, int lineCount, boolean recorded) throws IOException {
+        long startNanos = System.nanoTime();
+        try (Socket socket = connect(path == 1 ? relayPort : backendPort)) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            socket.getOutputStream()
                     .write(("OPEN " + Long.toHexString(++lastId) + " " + Long.toHexString(lastId * 77)
                                     + " c=open,t=t,d=2000\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            String up = readLine(in);
-            if (!up.startsWith("UP")) {
-                throw new IOException("an opening was answered " + up);
+            String answer = readLine(in);
+            if (!answer.startsWith("UP")) {
+                throw new IOException("an opening was answered " + answer);
             }
-            if (counts) {
-                openings[through].recordValue(System.nanoTime() - began);
+            if (recorded) {
+                openingLatencies[path].recordValue(System.nanoTime() - startNanos);
             }
-            for (int i = 0; i < each; i++) {
-                long sent = System.nanoTime();
-                s.getOutputStream().write("L\r\n".getBytes(StandardCharsets.US_ASCII));
+            for (int i = 0; i < lineCount; i++) {
+                long sentNanos = System.nanoTime();
+                socket.getOutputStream().write("L\r\n".getBytes(StandardCharsets.US_ASCII));
                 readLine(in);
-                if (counts) {
-                    lines[through].recordValue(System.nanoTime() - sent);
+                if (recorded) {
+                    lineLatencies[path].recordValue(System.nanoTime() - sentNanos);
                 }
             }
         }
     }
 
     private long relayCpuNanos() {
-        return process.info()
+        return relayProcess
+                .info()
                 .totalCpuDuration()
                 .map(java.time.Duration::toNanos)
                 .orElse(0L);
     }
 
     /** `opens` of each kind, in turn, with `each` lines; the first fifth is warm-up. A table, one row a line. */
-    public List<String> measure(int opens, int each) throws IOException {
-        for (int i = 0; i < opens + opens / 4; i++) {
-            measureConnection(0, each, i >= opens / 4);
-            measureConnection(1, each, i >= opens / 4);
+    public List<String> measure(int connections, int linesPerConnection) throws IOException {
+        for (int i = 0; i < connections + connections / 4; i++) {
+            measureConnection(0, linesPerConnection, i >= connections / 4);
+            measureConnection(1, linesPerConnection, i >= connections / 4);
         }
-        long before = relayCpuNanos();
-        for (int i = 0; i < opens; i++) {
+        long cpuNanosBefore = relayCpuNanos();
+        for (int i = 0; i < connections; i++) {
             measureConnection(1, 0, false);
         }
-        double open = (relayCpuNanos() - before) / 1e3 / opens;
-        before = relayCpuNanos();
-        measureConnection(1, opens, false);
-        double line = (relayCpuNanos() - before) / 1e3 / opens - open / opens;
-        List<String> out = new ArrayList<>();
-        out.add(String.format(Locale.ROOT, "%-28s %10s %10s %10s", "microseconds", "p50", "p99", "p99.9"));
-        appendRow(out, "opening, straight", openings[0]);
-        appendRow(out, "opening, through the relay", openings[1]);
-        appendRow(out, "line, straight", lines[0]);
-        appendRow(out, "line, through the relay", lines[1]);
-        out.add(String.format(
+        double cpuMicrosPerOpening = (relayCpuNanos() - cpuNanosBefore) / 1e3 / connections;
+        cpuNanosBefore = relayCpuNanos();
+        measureConnection(1, connections, false);
+        double cpuMicrosPerLine =
+                (relayCpuNanos() - cpuNanosBefore) / 1e3 / connections - cpuMicrosPerOpening / connections;
+        List<String> table = new ArrayList<>();
+        table.add(String.format(Locale.ROOT, "%-28s %10s %10s %10s", "microseconds", "p50", "p99", "p99.9"));
+        appendRow(table, "opening, straight", openingLatencies[0]);
+        appendRow(table, "opening, through the relay", openingLatencies[1]);
+        appendRow(table, "line, straight", lineLatencies[0]);
+        appendRow(table, "line, through the relay", lineLatencies[1]);
+        table.add(String.format(
                 Locale.ROOT,
                 "the relay's CPU: %.0f us an opening and its end, %.0f us a line and its answer",
-                open,
-                line));
-        return out;
+                cpuMicrosPerOpening,
+                cpuMicrosPerLine));
+        return table;
     }
 
-    private static void appendRow(List<String> out, String name, Histogram h) {
-        out.add(String.format(
+    private static void appendRow(List<String> table, String name, Histogram histogram) {
+        table.add(String.format(
                 Locale.ROOT,
                 "%-28s %10.0f %10.0f %10.0f",
                 name,
-                h.getValueAtPercentile(50) / 1e3,
-                h.getValueAtPercentile(99) / 1e3,
-                h.getValueAtPercentile(99.9) / 1e3));
+                histogram.getValueAtPercentile(50) / 1e3,
+                histogram.getValueAtPercentile(99) / 1e3,
+                histogram.getValueAtPercentile(99.9) / 1e3));
     }
 
     @Override
     public void close() throws InterruptedException {
-        process.destroyForcibly();
-        process.waitFor(5, TimeUnit.SECONDS);
+        relayProcess.destroyForcibly();
+        relayProcess.waitFor(5, TimeUnit.SECONDS);
         vertx.close();
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -22,26 +22,26 @@
 
     private final LoopbackTestbed testbed;
     private final Path jar;
-    private final Path dir;
+    private final Path workingDirectory;
     private final int port;
     final RosterServer rosterServer;
-    private final Map<ClientEndpoint, NetSocket> clients = new HashMap<>();
+    private final Map<ClientEndpoint, NetSocket> clientSockets = new HashMap<>();
     private final DeliveredRoster receivedRoster = new DeliveredRoster();
     private Process process;
     private int incarnation;
     private long endedProcessesCpuNanos;
 
-    RelayProcess(LoopbackTestbed place, int number, Path jar, Path dir) throws IOException {
-        super(place, number);
-        this.testbed = place;
+    RelayProcess(LoopbackTestbed testbed, int number, Path jar, Path workingDirectory) throws IOException {
+        super(testbed, number);
+        this.testbed = testbed;
         this.jar = jar;
-        this.dir = dir;
-        port = RelayLauncher.freePort();
+        this.workingDirectory = workingDirectory;
+        port = RelayLauncher.findFreePort();
         rosterServer = new RosterServer(
-                place.vertx,
-                place.rosterService,
-                name -> place.address(name, number),
-                message -> receivedRoster.apply(message, place.now()));
+                testbed.vertx,
+                testbed.rosterService,
+                name -> testbed.address(name, number),
+                message -> receivedRoster.apply(message, testbed.now()));
     }
 
     long drainNotifiedAt(String backend) {
@@ -49,15 +49,15 @@
     }
 
     @Override
-    protected void start(Runnable ready) {
+    protected void start(Runnable onReady) {
         incarnation++;
         if (receivedRoster.isUninitialized()) {
             receivedRoster.apply(testbed.rosterService.fullRoster(), testbed.now());
         }
         try {
-            Path file = dir.resolve(name + ".json");
+            Path configurationFile = workingDirectory.resolve(name + ".json");
             Files.writeString(
-                    file,
+                    configurationFile,
                     RelayConfigurationJson.create(
                                     testbed.scenario,
                                     name,
@@ -68,72 +68,72 @@
                             .encodePrettily());
             process = RelayLauncher.start(
                     jar,
-                    file,
+                    configurationFile,
                     testbed.scenario.relays().persistsState() ? writeOperatorFile() : null,
-                    dir.resolve(name + ".log"));
+                    workingDirectory.resolve(name + ".log"));
             if (incarnation > 1) {
                 recordRestart();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        awaitPong(incarnation, ready);
+        awaitPong(incarnation, onReady);
     }
 
     /** Its operator file, and the folder that outlives its processes. */
     private Path writeOperatorFile() throws IOException {
-        Path kept = dir.resolve(name + ".kept");
+        Path stateDirectory = workingDirectory.resolve(name + ".kept");
         // Danger: what an earlier run kept would be this run's past.
         if (incarnation == 1) {
-            Directories.createEmpty(kept);
+            Directories.createEmpty(stateDirectory);
         }
         return Files.writeString(
-                dir.resolve(name + ".toml"),
-                "[durable]\nfolder = \"" + kept + "\"\ninterval = \""
+                workingDirectory.resolve(name + ".toml"),
+                "[durable]\nfolder = \"" + stateDirectory + "\"\ninterval = \""
                         + testbed.scenario.relays().persistInterval() / MS + "ms\"\n");
     }
 
     /** As the front does: it is taken in once it answers PING. */
-    private void awaitPong(int mine, Runnable ready) {
-        if (incarnation != mine || !process.isAlive()) {
-            testbed.onRelayExited(this, process.isAlive());
+    private void awaitPong(int expectedIncarnation, Runnable onReady) {
+        if (incarnation != expectedIncarnation || !process.isAlive()) {
+            testbed.onRelayStartFailed(this, process.isAlive());
             return;
         }
         testbed.netClient
                 .connect(port, HOST)
                 .onSuccess(socket -> {
                     socket.handler(answer -> {
-                                if (incarnation == mine
+                                if (incarnation == expectedIncarnation
                                         && !running
                                         && answer.toString().startsWith("PONG")) {
                                     running = true;
-                                    ready.run();
+                                    onReady.run();
                                 }
                                 socket.close();
                             })
-                            .exceptionHandler(e -> {})
+                            .exceptionHandler(error -> {})
                             .closeHandler(v -> {
-                                if (incarnation == mine && !running) {
-                                    testbed.vertx.setTimer(25, t -> awaitPong(mine, ready));
+                                if (incarnation == expectedIncarnation && !running) {
+                                    testbed.vertx.setTimer(25, t -> awaitPong(expectedIncarnation, onReady));
                                 }
                             });
                     socket.write("PING\r\n");
                 })
-                .onFailure(e -> testbed.vertx.setTimer(25, t -> awaitPong(mine, ready)));
+                .onFailure(error -> testbed.vertx.setTimer(25, t -> awaitPong(expectedIncarnation, onReady)));
     }
 
     @Override
     protected void kill() {
         running = false;
         incarnation++;
-        end(true);
+        terminateProcess(true);
     }
 
     /** Only the process that was started here. */
-    private void end(boolean outright) {
+    private void terminateProcess(boolean forcibly) {
         if (process != null && process.isAlive()) {
             endedProcessesCpuNanos += currentProcessCpuNanos();
-            if (outright) {
+            if (forcibly) {
                 process.destroyForcibly();
             } else {
                 process.destroy();
@@ -143,10 +143,10 @@
 
     @Override
     protected void requestStop() {
-        int mine = incarnation;
-        end(false);
+        int stoppedIncarnation = incarnation;
+        terminateProcess(false);
         testbed.scheduler.scheduleAfter(4_000 * MS, () -> {
-            if (incarnation == mine) {
+            if (incarnation == stoppedIncarnation) {
                 kill();
             }
         });
@@ -162,7 +162,10 @@
     private long currentProcessCpuNanos() {
         return process == null
                 ? 0
-                : process.info().totalCpuDuration().map(d -> d.toNanos()).orElse(0L);
+                : process.info()
+                        .totalCpuDuration()
+                        .map(duration -> duration.toNanos())
+                        .orElse(0L);
     }
 
     /** CPU of all its processes, in nanoseconds. */
@@ -174,8 +177,8 @@
     long residentKilobytes() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
-                    .filter(l -> l.startsWith("VmRSS"))
-                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .filter(line -> line.startsWith("VmRSS"))
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
                     .findFirst()
                     .orElse(-1);
         } catch (IOException e) {
@@ -187,31 +190,38 @@
 
     @Override
     protected void connect(ClientEndpoint client) {
-        int mine = incarnation;
-        testbed.netClient.connect(port, HOST).onFailure(e -> client.onRefused()).onSuccess(socket -> {
-            clients.put(client, socket);
-            boolean[] reset = new boolean[1];
-            RecordParser lines = RecordParser.newDelimited(
-                    "\r\n", line -> client.onLine(line.appendString("\r\n").getBytes()));
-            socket.handler(lines).exceptionHandler(e -> reset[0] = true).closeHandler(v -> {
-                if (clients.remove(client) == null) {
-                    return;
-                }
-                // Danger: for some milliseconds after SIGKILL the dying process's port still takes connections, and
-                // then resets them.
-                if (incarnation != mine || !running) {
-                    client.onRelayKilled();
-                } else {
-                    client.onClosed(reset[0]);
-                }
-            });
-            client.onAccepted();
-        });
+        int connectedIncarnation = incarnation;
+        testbed.netClient
+                .connect(port, HOST)
+                .onFailure(error -> client.onRefused())
+                .onSuccess(socket -> {
+                    clientSockets.put(client, socket);
+                    boolean[] resetSeen = new boolean[1];
+                    RecordParser lines = RecordParser.newDelimited(
+                            "\r\n",
+                            line -> client.onLine(line.appendString("\r\n").getBytes()));
+                    socket.handler(lines)
+                            .exceptionHandler(error -> resetSeen[0] = true)
+                            .closeHandler(v -> {
+                                if (clientSockets.remove(client) == null) {
+                                    return;
+                                }
+                                // Danger: for some milliseconds after SIGKILL the dying process's port still takes
+                                // connections, and
+                                // then resets them.
+                                if (incarnation != connectedIncarnation || !running) {
+                                    client.onRelayKilled();
+                                } else {
+                                    client.onClosed(resetSeen[0]);
+                                }
+                            });
+                    client.onAccepted();
+                });
     }
 
     @Override
     protected void send(ClientEndpoint client, byte[] raw) {
-        NetSocket socket = clients.get(client);
+        NetSocket socket = clientSockets.get(client);
         if (socket != null) {
             socket.write(Buffer.buffer(raw));
         }
@@ -219,7 +229,7 @@
 
     @Override
     protected void end(ClientEndpoint client) {
-        NetSocket socket = clients.remove(client);
+        NetSocket socket = clientSockets.remove(client);
         if (socket != null) {
             socket.close();
         }
--- a/lab/src/main/java/ambertrestle/lab/loopback/RosterServer.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RosterServer.java
@@ -30,30 +30,30 @@
     RosterServer(
             Vertx vertx,
             SimulatedRosterService roster,
-            UnaryOperator<String> address,
-            java.util.function.Consumer<RosterMessage> told) {
+            UnaryOperator<String> addressResolver,
+            java.util.function.Consumer<RosterMessage> notificationListener) {
         this.vertx = vertx;
         this.roster = roster;
-        this.addressResolver = address;
-        this.notificationListener = told;
+        this.addressResolver = addressResolver;
+        this.notificationListener = notificationListener;
     }
 
     Future<HttpServer> listen() {
         return vertx.createHttpServer()
                 .requestHandler(this::handleRequest)
                 .listen(port, RelayLauncher.HOST)
-                .onSuccess(s -> {
-                    port = s.actualPort();
-                    server = s;
+                .onSuccess(started -> {
+                    port = started.actualPort();
+                    server = started;
                 });
     }
 
     /** It fails from now on, in that way; null: it serves again. */
-    void setFailureMode(RosterFailureMode how) {
-        if (how == RosterFailureMode.REFUSES) {
+    void setFailureMode(RosterFailureMode failureMode) {
+        if (failureMode == RosterFailureMode.REFUSES) {
             server.close();
             server = null;
-        } else if (how == null && server == null) {
+        } else if (failureMode == null && server == null) {
             listen();
         }
     }
@@ -63,34 +63,34 @@
     }
 
     JsonObject encode(RosterMessage message) {
-        JsonArray lines = new JsonArray();
-        for (RosterMessage.Entry line : message.entries()) {
-            lines.add(new JsonObject()
-                    .put("name", line.name())
-                    .put("address", addressResolver.apply(line.name()))
-                    .put("zone", line.zone())
-                    .put("type", line.type())
-                    .put("group", line.cell())
-                    .put("weight", line.weight())
-                    .put("since_ms", line.startedAtMillis())
+        JsonArray endpoints = new JsonArray();
+        for (RosterMessage.Entry entry : message.entries()) {
+            endpoints.add(new JsonObject()
+                    .put("name", entry.name())
+                    .put("address", addressResolver.apply(entry.name()))
+                    .put("zone", entry.zone())
+                    .put("type", entry.type())
+                    .put("group", entry.cell())
+                    .put("weight", entry.weight())
+                    .put("since_ms", entry.startedAtMillis())
                     .put(
                             "status",
-                            line.stage() == Stage.READY
+                            entry.stage() == Stage.READY
                                     ? "in_service"
-                                    : line.stage() == Stage.DRAINING ? "terminating" : "terminated"));
+                                    : entry.stage() == Stage.DRAINING ? "terminating" : "terminated"));
         }
         return new JsonObject()
                 .put("index", message.version())
                 .put("snapshot", message.isComplete())
-                .put("endpoints", lines);
+                .put("endpoints", endpoints);
     }
 
     private void handleRequest(HttpServerRequest request) {
         if (roster.failureMode() == RosterFailureMode.HANGS) {
             return;
         } else if (roster.failureMode() == RosterFailureMode.HALF_A_LINE) {
-            String line = encode(roster.fullRoster()).encode();
-            request.response().setChunked(true).write(line.substring(0, line.length() / 2));
+            String encodedRoster = encode(roster.fullRoster()).encode();
+            request.response().setChunked(true).write(encodedRoster.substring(0, encodedRoster.length() / 2));
         } else if (roster.failureMode() != null) {
             request.response().setStatusCode(503).end();
         } else if (!request.path().equals("/v1/endpoints")) {
@@ -98,9 +98,9 @@
         } else if (!"1".equals(request.getParam("stream"))) {
             request.response().end(encode(roster.fullRoster()).encode());
         } else {
-            String index = request.getParam("index");
+            String fromVersion = request.getParam("index");
             HttpServerResponse response = request.response().setChunked(true);
-            long still = vertx.setPeriodic(KEEP_ALIVE_INTERVAL_MILLIS, t -> response.write("\n"));
+            long keepAliveTimer = vertx.setPeriodic(KEEP_ALIVE_INTERVAL_MILLIS, t -> response.write("\n"));
             SimulatedRosterService.Watcher watcher = new SimulatedRosterService.Watcher() {
                 @Override
                 public void onMessage(RosterMessage message) {
@@ -114,10 +114,10 @@
                 }
             };
             response.closeHandler(v -> {
-                vertx.cancelTimer(still);
+                vertx.cancelTimer(keepAliveTimer);
                 roster.unwatch(watcher);
             });
-            roster.watch(watcher, index == null ? -1 : Long.parseLong(index));
+            roster.watch(watcher, fromVersion == null ? -1 : Long.parseLong(fromVersion));
         }
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
+++ b/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
@@ -15,9 +15,14 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One page of HTML that needs nothing beside it: a table of the figures, and plots a second with the troubles drawn in.
+ * Renders the report of a scenario as one self-contained HTML page: a table of all runs, then the plots of one run per
+ * policy, with one value per second and a vertical line at each event.
  */
 public final class HtmlReport {
+    private static final int PLOT_WIDTH_PIXELS = 1000;
+    private static final int PLOT_HEIGHT_PIXELS = 260;
+
+    /** One plot: its title, the label of its y axis, and the series drawn in it. */
     private record Plot(String title, String unit, List<Series> series) {}
 
     private static final List<Plot> PLOTS = List.of(
@@ -45,6 +50,13 @@
 
     private HtmlReport() {}
 
+    /**
+     * The page as HTML text.
+     *
+     * @param summary the summary of all runs, as {@link Summary#of} makes it
+     * @param results the runs; plots are drawn for the first run of each policy
+     * @throws IOException if a plot cannot be encoded as PNG
+     */
     public static String render(JsonObject summary, List<RunResult> results) throws IOException {
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escapeHtml(summary.getString("scenario")))
@@ -58,27 +70,27 @@
                 .append(escapeHtml(summary.getString("mode")))
                 .append("</p>");
         appendResultsTable(page, summary, results);
-        for (RunResult r : firstResultPerPolicy(results)) {
+        for (RunResult result : firstResultPerPolicy(results)) {
             page.append("<h2>")
-                    .append(escapeHtml(r.policy()))
+                    .append(escapeHtml(result.policy()))
                     .append(", seed ")
-                    .append(r.seed())
+                    .append(result.seed())
                     .append("</h2><ul>");
-            r.eventLog()
-                    .forEach(
-                            line -> page.append("<li>").append(escapeHtml(line)).append("</li>"));
+            result.eventLog()
+                    .forEach(event ->
+                            page.append("<li>").append(escapeHtml(event)).append("</li>"));
             page.append("</ul>");
-            for (int i = 0; i < r.metrics().getJsonArray("first breaches").size(); i++) {
+            for (int i = 0; i < result.metrics().getJsonArray("first breaches").size(); i++) {
                 page.append("<p class=\"broken\">")
                         .append(escapeHtml(
-                                r.metrics().getJsonArray("first breaches").getString(i)))
+                                result.metrics().getJsonArray("first breaches").getString(i)))
                         .append("</p>");
             }
             for (Plot plot : PLOTS) {
                 page.append("<p><img alt=\"")
                         .append(plot.title)
                         .append("\" src=\"data:image/png;base64,")
-                        .append(Base64.getEncoder().encodeToString(renderPng(plot, r)))
+                        .append(Base64.getEncoder().encodeToString(renderPng(plot, result)))
                         .append("\"></p>");
             }
         }
@@ -87,11 +99,11 @@
 
     private static List<RunResult> firstResultPerPolicy(List<RunResult> results) {
         return results.stream()
-                .filter(r -> results.stream()
-                                .filter(o -> o.policy().equals(r.policy()))
+                .filter(result -> results.stream()
+                                .filter(other -> other.policy().equals(result.policy()))
                                 .findFirst()
                                 .get()
-                        == r)
+                        == result)
                 .toList();
     }
 
@@ -99,42 +111,42 @@
         page.append(
                 "<table><tr><th>policy</th><th>seed</th><th>share of benefit</th><th>rules</th><th>up</th><th>shed</th>"
                         + "<th>forfeited</th><th>no answer</th><th>moved</th><th>broken</th><th>opening p50, p99 ms</th><th>line p50, p99 ms</th></tr>");
-        for (RunResult r : results) {
-            JsonObject f = r.metrics();
-            JsonObject answers = f.getJsonObject("answers");
+        for (RunResult result : results) {
+            JsonObject metrics = result.metrics();
+            JsonObject answers = metrics.getJsonObject("answers");
             page.append("<tr><td>")
-                    .append(escapeHtml(r.policy()))
+                    .append(escapeHtml(result.policy()))
                     .append("</td><td>")
-                    .append(r.seed())
+                    .append(result.seed())
                     .append("</td><td>")
-                    .append(String.format(Locale.ROOT, "%.4f", r.benefitShare()))
-                    .append(r.isComplete() ? "" : " (cut short)")
-                    .append(r.isCpuStarved() ? " (starved of CPU: no result)" : "")
-                    .append(r.invariantsHeld() ? "</td><td>kept" : "</td><td class=\"broken\">broken");
-            for (Series s : List.of(
+                    .append(String.format(Locale.ROOT, "%.4f", result.benefitShare()))
+                    .append(result.isComplete() ? "" : " (cut short)")
+                    .append(result.isCpuStarved() ? " (starved of CPU: no result)" : "")
+                    .append(result.invariantsHeld() ? "</td><td>kept" : "</td><td class=\"broken\">broken");
+            for (Series series : List.of(
                     Series.ESTABLISHED,
                     Series.SHED,
                     Series.FORFEITED,
                     Series.UNANSWERED,
                     Series.MOVED,
                     Series.BROKEN)) {
-                page.append("</td><td>").append(answers.getLong(s.label));
+                page.append("</td><td>").append(answers.getLong(series.label));
             }
-            for (String h : List.of("opening, ms", "line, ms")) {
+            for (String latencyKey : List.of("opening, ms", "line, ms")) {
                 page.append("</td><td>")
-                        .append(f.getJsonObject(h).getDouble("p50"))
+                        .append(metrics.getJsonObject(latencyKey).getDouble("p50"))
                         .append(", ")
-                        .append(f.getJsonObject(h).getDouble("p99"));
+                        .append(metrics.getJsonObject(latencyKey).getDouble("p99"));
             }
             page.append("</td></tr>");
         }
         page.append("</table>");
     }
 
-    private static byte[] renderPng(Plot plot, RunResult r) throws IOException {
+    private static byte[] renderPng(Plot plot, RunResult result) throws IOException {
         XYChart chart = new XYChartBuilder()
-                .width(1000)
-                .height(260)
+                .width(PLOT_WIDTH_PIXELS)
+                .height(PLOT_HEIGHT_PIXELS)
                 .title(plot.title)
                 .xAxisTitle("seconds")
                 .yAxisTitle(plot.unit)
@@ -144,25 +156,27 @@
                 .setLegendPosition(Styler.LegendPosition.OutsideE)
                 .setChartBackgroundColor(Color.WHITE)
                 .setAnnotationLineColor(new Color(190, 40, 40));
-        for (Series s : plot.series) {
-            double[] values = r.meter().series(s);
+        for (Series series : plot.series) {
+            double[] values = result.recorder().series(series);
             double[] seconds = new double[values.length];
             for (int i = 0; i < seconds.length; i++) {
+                // A value covers one second and is drawn in its middle.
                 seconds[i] = i + 0.5;
             }
-            chart.addSeries(s.label, seconds, values).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(series.label, seconds, values).setMarker(SeriesMarkers.NONE);
         }
-        for (String line : r.eventLog()) {
+        for (String event : result.eventLog()) {
+            // An event line starts with its time in seconds, followed by a space.
             chart.addAnnotation(
-                    new AnnotationLine(Double.parseDouble(line.substring(0, line.indexOf(' '))), true, false));
+                    new AnnotationLine(Double.parseDouble(event.substring(0, event.indexOf(' '))), true, false));
         }
         return BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static String escapeHtml(String plain) {
-        return plain == null
+    private static String escapeHtml(String text) {
+        return text == null
                 ? ""
-                : plain.replace("&", "&amp;")
+                : text.replace("&", "&amp;")
                         .replace("<", "&lt;")
                         .replace(">", "&gt;")
                         .replace("\"", "&quot;");
--- a/lab/src/main/java/ambertrestle/lab/report/RunResult.java
+++ b/lab/src/main/java/ambertrestle/lab/report/RunResult.java
@@ -12,9 +12,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one run of one policy with one seed brought, as it stands in summary.json: nothing in it tells of this machine
- * or of the time it took. Latencies in milliseconds, counted from when a client wanted its answer, so a relay that is
- * slow cannot hide it by slowing its clients down.
+ * The result of one run of one policy with one seed. Apart from the resource usage of a run on sockets, it contains
+ * nothing that depends on the machine or on how long the run took. Latencies are in milliseconds and start when the
+ * client wanted its answer, not when it sent the request, so that a slow relay cannot hide its delay by slowing its
+ * clients down (coordinated omission).
+ *
+ * @param isComplete whether the run reached its end; false if it was interrupted
+ * @param metrics the run's entry in summary.json
+ * @param eventLog begin and end of each trouble, with its time in seconds from the end of the warm-up
+ * @param recorder the counts per second, for the plots
  */
 public record RunResult(
         String policy,
@@ -22,20 +28,27 @@
         boolean isComplete,
         JsonObject metrics,
         List<String> eventLog,
-        MetricsRecorder meter) {
+        MetricsRecorder recorder) {
+    /**
+     * Collects the results of a finished or interrupted run.
+     *
+     * @param connectionTotals connections by outcome, warm-up included
+     * @param badClientCount number of clients that sent an invalid request
+     * @param unansweredBadClients how many of them got no answer
+     */
     public static RunResult of(
             String policy,
             long seed,
-            boolean whole,
-            MetricsRecorder meter,
-            InvariantChecker judge,
-            List<String> happened,
-            Map<String, Long> account,
-            int badSent,
-            int badUnanswered) {
-        double offered = meter.sum(Series.OFFERED_BENEFIT);
+            boolean isComplete,
+            MetricsRecorder recorder,
+            InvariantChecker invariantChecker,
+            List<String> eventLog,
+            Map<String, Long> connectionTotals,
+            int badClientCount,
+            int unansweredBadClients) {
+        double offeredBenefit = recorder.sum(Series.OFFERED_BENEFIT);
         JsonObject answers = new JsonObject();
-        for (Series s : List.of(
+        for (Series series : List.of(
                 Series.ESTABLISHED,
                 Series.SHED,
                 Series.FORFEITED,
@@ -44,67 +57,83 @@
                 Series.DONE,
                 Series.BROKEN,
                 Series.MOVED)) {
-            answers.put(s.label, Math.round(meter.sum(s)));
+            answers.put(series.label, Math.round(recorder.sum(series)));
         }
-        JsonObject rules = new JsonObject();
-        judge.violationCounts().forEach((rule, n) -> rules.put(rule.description, n));
-        JsonObject figures = new JsonObject()
+        JsonObject violationCounts = new JsonObject();
+        invariantChecker
+                .violationCounts()
+                .forEach((invariant, count) -> violationCounts.put(invariant.description, count));
+        JsonObject metrics = new JsonObject()
                 .put("policy", policy)
                 .put("seed", seed)
-                .put("played to its end", whole)
-                .put("benefit", roundToFourDecimals(meter.sum(Series.BENEFIT)))
-                .put("offered", roundToFourDecimals(offered))
-                .put("share", roundToFourDecimals(offered == 0 ? 0 : meter.sum(Series.BENEFIT) / offered))
-                .put("rules kept", judge.hasNoViolations())
-                .put("breaches", rules)
-                .put("first breaches", new JsonArray(judge.violationMessages()))
+                .put("played to its end", isComplete)
+                .put("benefit", roundToFourDecimals(recorder.sum(Series.BENEFIT)))
+                .put("offered", roundToFourDecimals(offeredBenefit))
+                .put(
+                        "share",
+                        roundToFourDecimals(offeredBenefit == 0 ? 0 : recorder.sum(Series.BENEFIT) / offeredBenefit))
+                .put("rules kept", invariantChecker.hasNoViolations())
+                .put("breaches", violationCounts)
+                .put("first breaches", new JsonArray(invariantChecker.violationMessages()))
                 .put("answers", answers)
-                .put("account, warm-up included", new JsonObject(new LinkedHashMap<>(account)))
-                .put("opens", Math.round(meter.sum(Series.OPENS)))
-                .put("reconnects", Math.round(meter.sum(Series.RECONNECTS)))
+                .put("account, warm-up included", new JsonObject(new LinkedHashMap<>(connectionTotals)))
+                .put("opens", Math.round(recorder.sum(Series.OPENS)))
+                .put("reconnects", Math.round(recorder.sum(Series.RECONNECTS)))
                 .put(
                         "most reconnects in a second",
-                        Math.round(Arrays.stream(meter.series(Series.RECONNECTS))
+                        Math.round(Arrays.stream(recorder.series(Series.RECONNECTS))
                                 .max()
                                 .orElse(0)))
-                .put("dispatches", Math.round(meter.sum(Series.DISPATCHES)))
-                .put("lines", Math.round(meter.sum(Series.LINES)))
-                .put("late lines", Math.round(meter.sum(Series.LATE_LINES)))
-                .put("opening, ms", percentiles(meter.openingLatency))
-                .put("line, ms", percentiles(meter.lineLatency))
-                .put("bad clients", badSent)
-                .put("bad clients left alone", badUnanswered)
-                .put("troubles", new JsonArray(happened));
-        return new RunResult(policy, seed, whole, figures, happened, meter);
+                .put("dispatches", Math.round(recorder.sum(Series.DISPATCHES)))
+                .put("lines", Math.round(recorder.sum(Series.LINES)))
+                .put("late lines", Math.round(recorder.sum(Series.LATE_LINES)))
+                .put("opening, ms", percentiles(recorder.openingLatency))
+                .put("line, ms", percentiles(recorder.lineLatency))
+                .put("bad clients", badClientCount)
+                .put("bad clients left alone", unansweredBadClients)
+                .put("troubles", new JsonArray(eventLog));
+        return new RunResult(policy, seed, isComplete, metrics, eventLog, recorder);
     }
 
-    /** The same with what it cost on sockets; a starved run is marked as none. */
-    public RunResult addResourceUsage(List<String> costs, boolean starved) {
-        metrics.put("costs", new JsonArray(costs)).put("starved", starved);
+    /**
+     * Adds to this result what a run on sockets consumed.
+     *
+     * @param resourceUsage lines for the reader
+     * @param starved whether the run got too little CPU, which makes its figures unusable
+     * @return this result
+     */
+    public RunResult addResourceUsage(List<String> resourceUsage, boolean starved) {
+        metrics.put("costs", new JsonArray(resourceUsage)).put("starved", starved);
         return this;
     }
 
-    /** The machine gave too little CPU for the figures to mean anything. */
+    /** Whether the run got too little CPU for its figures to be meaningful. False for runs in the simulation. */
     public boolean isCpuStarved() {
         return metrics.getBoolean("starved", false);
     }
 
+    /** Benefit that clients got, as a share of the benefit offered; 0 if none was offered. */
     public double benefitShare() {
         return metrics.getDouble("share");
     }
 
+    /** Whether the invariant checker found no violation. */
     public boolean invariantsHeld() {
         return metrics.getBoolean("rules kept");
     }
 
-    private static JsonObject percentiles(Histogram h) {
-        JsonObject out = new JsonObject().put("count", h.getTotalCount());
-        for (double p : new double[] {50, 90, 99, 99.9}) {
-            out.put(
-                    "p" + (p == Math.rint(p) ? Long.toString((long) p) : Double.toString(p)),
-                    h.getValueAtPercentile(p) / 1000.0);
+    /** Count, percentiles and maximum of a histogram of microseconds; the latter two in milliseconds. */
+    private static JsonObject percentiles(Histogram histogram) {
+        JsonObject json = new JsonObject().put("count", histogram.getTotalCount());
+        for (double percentile : new double[] {50, 90, 99, 99.9}) {
+            json.put(
+                    "p"
+                            + (percentile == Math.rint(percentile)
+                                    ? Long.toString((long) percentile)
+                                    : Double.toString(percentile)),
+                    histogram.getValueAtPercentile(percentile) / 1000.0);
         }
-        return out.put("max", h.getMaxValue() / 1000.0);
+        return json.put("max", histogram.getMaxValue() / 1000.0);
     }
 
     static double roundToFourDecimals(double value) {
--- a/lab/src/main/java/ambertrestle/lab/report/Summary.java
+++ b/lab/src/main/java/ambertrestle/lab/report/Summary.java
@@ -10,47 +10,65 @@
 import java.util.List;
 import java.util.Map;
 
-/** All runs of one scenario: the figures of each, and of each policy over its seeds. */
+/**
+ * The summary of all runs of one scenario (summary.json): the results of each run, and statistics of each policy over
+ * its seeds. It also compares two summaries.
+ */
 public final class Summary {
-    /** Student's t for 95%, two-sided, by degrees of freedom from 1 on; beyond the last about two. */
+    /**
+     * Two-sided 95% quantiles of Student's t distribution for 1, 2, 3, ... degrees of freedom. For more degrees of
+     * freedom than listed the quantile is close to 2.
+     */
     private static final double[] STUDENT_T_95 = {
         12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
         2.110, 2.101, 2.093, 2.086
     };
 
+    /** With a smaller difference of the two shares, the position between them would be a division by almost 0. */
+    private static final double MIN_RANDOM_ORACLE_DIFFERENCE = 0.001;
+
     private Summary() {}
 
-    public static JsonObject of(String scenario, String mode, List<RunResult> all) {
-        List<RunResult> results = all.stream().filter(r -> !r.isCpuStarved()).toList();
+    /**
+     * The content of summary.json, without the scenario's description. Runs that were starved of CPU are listed, but
+     * left out of the statistics per policy. Shares relative to the oracle are present only if the oracle policy was
+     * run, and the position between random and oracle only if both were run and differ.
+     */
+    public static JsonObject of(String scenario, String mode, List<RunResult> allResults) {
+        List<RunResult> usableResults =
+                allResults.stream().filter(result -> !result.isCpuStarved()).toList();
         JsonObject policies = new JsonObject();
-        Map<String, List<Double>> shares = sharesByPolicy(results);
-        shares.forEach((policy, list) -> policies.put(
+        Map<String, List<Double>> shares = sharesByPolicy(usableResults);
+        shares.forEach((policy, policyShares) -> policies.put(
                 policy,
                 new JsonObject()
-                        .put("seeds", list.size())
-                        .put("share, mean", RunResult.roundToFourDecimals(mean(list)))
-                        .put("share, standard deviation", RunResult.roundToFourDecimals(standardDeviation(list)))
+                        .put("seeds", policyShares.size())
+                        .put("share, mean", RunResult.roundToFourDecimals(mean(policyShares)))
+                        .put(
+                                "share, standard deviation",
+                                RunResult.roundToFourDecimals(standardDeviation(policyShares)))
                         .put(
                                 "share, least",
-                                list.stream().mapToDouble(x -> x).min().orElse(0))
+                                policyShares.stream().mapToDouble(x -> x).min().orElse(0))
                         .put(
                                 "share, most",
-                                list.stream().mapToDouble(x -> x).max().orElse(0))
+                                policyShares.stream().mapToDouble(x -> x).max().orElse(0))
                         .put(
                                 "rules kept",
-                                results.stream()
-                                        .filter(r -> r.policy().equals(policy))
+                                usableResults.stream()
+                                        .filter(result -> result.policy().equals(policy))
                                         .allMatch(RunResult::invariantsHeld))));
-        double oracle = mean(shares.getOrDefault("oracle", List.of()));
-        double random = mean(shares.getOrDefault("random", List.of()));
-        if (oracle > 0) {
-            shares.forEach((policy, list) -> {
-                JsonObject figures = policies.getJsonObject(policy)
-                        .put("of the oracle's", RunResult.roundToFourDecimals(mean(list) / oracle));
-                if (random > 0 && oracle - random > 0.001) {
-                    figures.put(
+        double oracleMean = mean(shares.getOrDefault("oracle", List.of()));
+        double randomMean = mean(shares.getOrDefault("random", List.of()));
+        if (oracleMean > 0) {
+            shares.forEach((policy, policyShares) -> {
+                JsonObject policySummary = policies.getJsonObject(policy)
+                        .put("of the oracle's", RunResult.roundToFourDecimals(mean(policyShares) / oracleMean));
+                if (randomMean > 0 && oracleMean - randomMean > MIN_RANDOM_ORACLE_DIFFERENCE) {
+                    policySummary.put(
                             "between random (0) and the oracle (1)",
-                            RunResult.roundToFourDecimals((mean(list) - random) / (oracle - random)));
+                            RunResult.roundToFourDecimals(
+                                    (mean(policyShares) - randomMean) / (oracleMean - randomMean)));
                 }
             });
         }
@@ -58,20 +76,26 @@
                 .put("scenario", scenario)
                 .put("mode", mode)
                 .put("policies", policies)
-                .put("runs", new JsonArray(all.stream().map(RunResult::metrics).toList()));
+                .put(
+                        "runs",
+                        new JsonArray(
+                                allResults.stream().map(RunResult::metrics).toList()));
     }
 
+    /** The benefit share of each run, by policy, in the order of the runs. */
     private static Map<String, List<Double>> sharesByPolicy(List<RunResult> results) {
         Map<String, List<Double>> shares = new LinkedHashMap<>();
-        results.forEach(
-                r -> shares.computeIfAbsent(r.policy(), p -> new ArrayList<>()).add(r.benefitShare()));
+        results.forEach(result ->
+                shares.computeIfAbsent(result.policy(), p -> new ArrayList<>()).add(result.benefitShare()));
         return shares;
     }
 
+    /** The arithmetic mean; 0 for an empty list. */
     static double mean(List<Double> values) {
         return values.stream().mapToDouble(x -> x).average().orElse(0);
     }
 
+    /** The sample standard deviation; 0 for fewer than two values. */
     static double standardDeviation(List<Double> values) {
         double mean = mean(values);
         return values.size() < 2
@@ -83,59 +107,65 @@
     }
 
     /**
-     * Two summaries side by side, policy by policy. Where both played the same seeds of the same scenario, seeds are
-     * paired. A difference counts as noise where its 95% interval (Student's t) holds zero, or where one seed alone was
-     * played.
+     * Compares the benefit shares of two summaries, policy by policy, and returns a table as text. If both have the
+     * same seeds, the shares are compared in pairs, seed by seed. A difference is called noise if its 95% confidence
+     * interval (Student's t) contains 0. With a single seed on either side there is no interval and no verdict.
+     *
+     * @param baselinePath a summary.json or the folder that contains it; column A of the table
+     * @param candidatePath the same for column B
+     * @throws IOException if a file is missing, cannot be read, or is not a summary
      */
-    public static String compare(Path one, Path other) throws IOException {
-        JsonObject a = read(one);
-        JsonObject b = read(other);
-        StringBuilder out = new StringBuilder(String.format(
+    public static String compare(Path baselinePath, Path candidatePath) throws IOException {
+        JsonObject baseline = readSummary(baselinePath);
+        JsonObject candidate = readSummary(candidatePath);
+        StringBuilder table = new StringBuilder(String.format(
                 java.util.Locale.ROOT, "%-10s %8s %8s %9s %9s  %s%n", "policy", "A", "B", "B - A", "+-", "verdict"));
-        out.append(
-                a.getString("scenario").equals(b.getString("scenario"))
+        table.append(
+                baseline.getString("scenario").equals(candidate.getString("scenario"))
                         ? ""
-                        : "different scenarios: " + a.getString("scenario") + " and " + b.getString("scenario")
-                                + System.lineSeparator());
-        for (String policy : a.getJsonObject("policies").fieldNames()) {
-            if (b.getJsonObject("policies").containsKey(policy)) {
-                Map<Long, Double> x = sharesBySeed(a, policy);
-                Map<Long, Double> y = sharesBySeed(b, policy);
-                double difference = mean(List.copyOf(y.values())) - mean(List.copyOf(x.values()));
-                double within = confidenceHalfWidth(x, y);
-                out.append(String.format(
+                        : "different scenarios: " + baseline.getString("scenario") + " and "
+                                + candidate.getString("scenario") + System.lineSeparator());
+        for (String policy : baseline.getJsonObject("policies").fieldNames()) {
+            if (candidate.getJsonObject("policies").containsKey(policy)) {
+                Map<Long, Double> baselineShares = sharesBySeed(baseline, policy);
+                Map<Long, Double> candidateShares = sharesBySeed(candidate, policy);
+                double difference =
+                        mean(List.copyOf(candidateShares.values())) - mean(List.copyOf(baselineShares.values()));
+                double halfWidth = confidenceHalfWidth(baselineShares, candidateShares);
+                table.append(String.format(
                         java.util.Locale.ROOT,
                         "%-10s %8.4f %8.4f %+9.4f %9s  %s%n",
                         policy,
-                        mean(List.copyOf(x.values())),
-                        mean(List.copyOf(y.values())),
+                        mean(List.copyOf(baselineShares.values())),
+                        mean(List.copyOf(candidateShares.values())),
                         difference,
-                        within < 0 ? "?" : String.format(java.util.Locale.ROOT, "%.4f", within),
-                        within < 0
+                        halfWidth < 0 ? "?" : String.format(java.util.Locale.ROOT, "%.4f", halfWidth),
+                        halfWidth < 0
                                 ? "one seed: nothing can be said"
-                                : Math.abs(difference) <= within
+                                : Math.abs(difference) <= halfWidth
                                         ? "noise"
                                         : difference > 0 ? "B is better" : "A is better"));
             }
         }
-        return out.toString();
+        return table.toString();
     }
 
-    private static JsonObject read(Path dir) throws IOException {
-        Path file = Files.isDirectory(dir) ? dir.resolve("summary.json") : dir;
+    private static JsonObject readSummary(Path path) throws IOException {
+        Path file = Files.isDirectory(path) ? path.resolve("summary.json") : path;
         try {
             JsonObject summary = new JsonObject(Files.readString(file));
             if (summary.getJsonObject("policies") == null || summary.getJsonArray("runs") == null) {
-                throw new IOException(file + " is no summary of a run: policies or runs is missing");
+                throw new IOException(file + " is not a summary of a run: expected the keys policies and runs");
             }
             return summary;
         } catch (io.vertx.core.json.DecodeException | ClassCastException e) {
-            throw new IOException(file + " is no summary of a run", e);
+            throw new IOException(file + " is not a summary of a run: expected the JSON of summary.json", e);
         } catch (java.nio.file.NoSuchFileException e) {
-            throw new IOException(file + " is not there", e);
+            throw new IOException(file + " does not exist", e);
         }
     }
 
+    /** The benefit share of each run of a policy that was not starved of CPU, by seed. */
     private static Map<Long, Double> sharesBySeed(JsonObject summary, String policy) {
         Map<Long, Double> shares = new LinkedHashMap<>();
         JsonArray runs = summary.getJsonArray("runs");
@@ -148,24 +178,31 @@
         return shares;
     }
 
-    /** Half of the 95% interval of the difference; below 0 where it cannot be known. */
-    private static double confidenceHalfWidth(Map<Long, Double> x, Map<Long, Double> y) {
-        if (x.size() < 2 || y.size() < 2) {
+    /**
+     * Half the width of the 95% confidence interval of the difference of the means: of a paired test if both have the
+     * same seeds, otherwise of an unpaired test with unequal variances. -1 if either side has fewer than two seeds.
+     */
+    private static double confidenceHalfWidth(Map<Long, Double> baselineShares, Map<Long, Double> candidateShares) {
+        if (baselineShares.size() < 2 || candidateShares.size() < 2) {
             return -1;
         }
-        if (x.keySet().equals(y.keySet())) {
-            List<Double> differences =
-                    x.keySet().stream().map(s -> y.get(s) - x.get(s)).toList();
-            return studentT(differences.size() - 1)
+        if (baselineShares.keySet().equals(candidateShares.keySet())) {
+            List<Double> differences = baselineShares.keySet().stream()
+                    .map(seed -> candidateShares.get(seed) - baselineShares.get(seed))
+                    .toList();
+            return studentTQuantile95(differences.size() - 1)
                     * standardDeviation(differences)
                     / StrictMath.sqrt(differences.size());
         }
-        double vx = standardDeviation(List.copyOf(x.values()));
-        double vy = standardDeviation(List.copyOf(y.values()));
-        return studentT(Math.min(x.size(), y.size()) - 1) * StrictMath.sqrt(vx * vx / x.size() + vy * vy / y.size());
+        // The smaller sample's degrees of freedom give an interval that is rather too wide than too narrow.
+        double baselineDeviation = standardDeviation(List.copyOf(baselineShares.values()));
+        double candidateDeviation = standardDeviation(List.copyOf(candidateShares.values()));
+        return studentTQuantile95(Math.min(baselineShares.size(), candidateShares.size()) - 1)
+                * StrictMath.sqrt(baselineDeviation * baselineDeviation / baselineShares.size()
+                        + candidateDeviation * candidateDeviation / candidateShares.size());
     }
 
-    private static double studentT(int freedom) {
-        return freedom <= STUDENT_T_95.length ? STUDENT_T_95[freedom - 1] : 2;
+    private static double studentTQuantile95(int degreesOfFreedom) {
+        return degreesOfFreedom <= STUDENT_T_95.length ? STUDENT_T_95[degreesOfFreedom - 1] : 2;
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/scenario/RelayConfigurationJson.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/RelayConfigurationJson.java
@@ -6,11 +6,23 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** The configuration that a relay is started with, made from a scenario: one form for the model and for sockets. */
+/**
+ * Builds the relay configuration (the JSON of `BALANCER_CONFIG`) from a scenario. Relays in the simulation and relay
+ * processes on sockets are started with the same form.
+ */
 public final class RelayConfigurationJson {
+    private static final int CONNECT_TIMEOUT_MICROS = 150_000;
+    /** The aim for message latency where the scenario has no use case, in nanoseconds. */
+    private static final long DEFAULT_LINE_GOAL_TIME = 100_000_000L;
+
     private RelayConfigurationJson() {}
 
-    /** One entry of the roster, in the roster service's form. */
+    /**
+     * One roster entry in the JSON form of the roster service.
+     *
+     * @param status `in_service`, `terminating` or `terminated`
+     * @param sinceMillis Unix time in milliseconds at which the backend's process started; 0 if unknown or long ago
+     */
     public static JsonObject createRosterEntry(
             String name, String address, Fleet fleet, String status, long sinceMillis) {
         return new JsonObject()
@@ -24,65 +36,87 @@
                 .put("since_ms", sinceMillis);
     }
 
+    /**
+     * The whole configuration of one relay.
+     *
+     * @param name the relay's name
+     * @param listenAddress host:port on which the relay accepts clients
+     * @param rosterAddress host:port of the roster service
+     * @param seed the seed of the relay's random decisions
+     * @param knownRoster the complete roster that the relay starts with, in the roster service's JSON form
+     */
     public static JsonObject create(
-            Scenario s, String name, String listen, String roster, long seed, JsonObject known) {
+            Scenario scenario,
+            String name,
+            String listenAddress,
+            String rosterAddress,
+            long seed,
+            JsonObject knownRoster) {
         JsonArray useCases = new JsonArray();
-        for (Workload w : s.workloads()) {
+        for (Workload workload : scenario.workloads()) {
             JsonObject useCase = new JsonObject()
-                    .put("name", w.name())
-                    .put("goalTimeUs", w.goalTime() / 1000)
-                    .put("cutOffUs", w.cutOff() / 1000)
+                    .put("name", workload.name())
+                    .put("goalTimeUs", workload.goalTime() / 1000)
+                    .put("cutOffUs", workload.cutOff() / 1000)
                     .put(
                             "repeat",
-                            w.effect() == Effect.RETRIABLE
+                            workload.effect() == Effect.RETRIABLE
                                     ? "idempotent"
-                                    : w.effect() == Effect.BINDING ? "at_most_once" : "deduplicated");
-            if (w.effect() == Effect.FINGERPRINTED) {
-                useCase.put("dedupScope", w.deduplicationScope()).put("windowUs", w.deduplicationWindow() / 1000);
+                                    : workload.effect() == Effect.BINDING ? "at_most_once" : "deduplicated");
+            if (workload.effect() == Effect.FINGERPRINTED) {
+                useCase.put("dedupScope", workload.deduplicationScope())
+                        .put("windowUs", workload.deduplicationWindow() / 1000);
             }
             useCases.add(useCase);
         }
-        long lineGoal =
-                s.workloads().stream().mapToLong(Workload::lineGoalTime).min().orElse(100_000_000L);
+        long minLineGoalTime = scenario.workloads().stream()
+                .mapToLong(Workload::lineGoalTime)
+                .min()
+                .orElse(DEFAULT_LINE_GOAL_TIME);
         JsonObject settings = new JsonObject()
-                .put("siblings", s.relays().count())
+                .put("siblings", scenario.relays().count())
                 .put("discovery", "on_request")
                 .put("weights", "nominal")
                 .put("useCases", useCases)
                 .put(
                         "zones",
-                        new JsonArray(
-                                s.fleets().stream().map(Fleet::zone).distinct().toList()))
+                        new JsonArray(scenario.fleets().stream()
+                                .map(Fleet::zone)
+                                .distinct()
+                                .toList()))
                 .put(
                         "machineTypes",
-                        new JsonArray(s.fleets().stream().map(Fleet::name).toList()))
+                        new JsonArray(
+                                scenario.fleets().stream().map(Fleet::name).toList()))
                 .put("tenants", new JsonArray().add(new JsonObject().put("name", "t")))
                 .put(
                         "limits",
                         new JsonObject()
-                                .put("mostDispatches", s.rules().maxDispatches())
+                                .put("mostDispatches", scenario.rules().maxDispatches())
                                 .put("secondCopies", false)
-                                .put("retryAfter", s.rules().maxRetryAfter() > 0)
-                                .put("maxRetryAfterUs", s.rules().maxRetryAfter() / 1000)
-                                .put("connectTimeoutUs", 150_000))
+                                .put("retryAfter", scenario.rules().maxRetryAfter() > 0)
+                                .put("maxRetryAfterUs", scenario.rules().maxRetryAfter() / 1000)
+                                .put("connectTimeoutUs", CONNECT_TIMEOUT_MICROS))
                 .put(
                         "guarantees",
                         new JsonObject()
-                                .put("drainGraceUs", s.rules().drainGrace() / 1000)
-                                .put("coldFrom", s.rules().slowStartInitialFactor())
-                                .put("coldUs", s.rules().slowStartDuration() / 1000)
-                                .put("fallMultiple", s.rules().slowStartBurstMultiple())
-                                .put("fallUs", s.rules().slowStartBurstWindow() / 1000))
+                                .put("drainGraceUs", scenario.rules().drainGrace() / 1000)
+                                .put("coldFrom", scenario.rules().slowStartInitialFactor())
+                                .put("coldUs", scenario.rules().slowStartDuration() / 1000)
+                                .put("fallMultiple", scenario.rules().slowStartBurstMultiple())
+                                .put("fallUs", scenario.rules().slowStartBurstWindow() / 1000))
                 .put(
                         "familyInfo",
-                        new JsonObject().put("mode", "end").put("messageAimUs", new JsonArray().add(lineGoal / 1000)));
+                        new JsonObject()
+                                .put("mode", "end")
+                                .put("messageAimUs", new JsonArray().add(minLineGoalTime / 1000)));
         return new JsonObject()
                 .put("name", name)
-                .put("listen", listen)
-                .put("discovery", roster)
+                .put("listen", listenAddress)
+                .put("discovery", rosterAddress)
                 .put("seed", Long.toHexString(seed))
-                .put("limits", new JsonObject().put("sockets", s.relays().maxSockets()))
-                .put("known", known)
+                .put("limits", new JsonObject().put("sockets", scenario.relays().maxSockets()))
+                .put("known", knownRoster)
                 .put("settings", settings);
     }
 }
--- a/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
@@ -8,7 +8,21 @@
 import java.util.List;
 import java.util.Set;
 
-/** What one run plays: plain values, read and checked here alone. Times in whole nanoseconds, from the run's start. */
+/**
+ * The description of one run: the fleet, its load and the troubles that are injected. {@link #read} parses it from TOML
+ * and validates it; no other code checks these values. All times and durations are in nanoseconds. Amounts of work are
+ * the nanoseconds that a backend of speed 1 takes for it.
+ *
+ * @param name the name in reports
+ * @param description one or two sentences for reports; empty if the file has none
+ * @param warmUp time from the run's start to the start of the measured time
+ * @param duration length of the measured time, which follows the warm-up
+ * @param measurementStart offset into the measured time before which sums and latency percentiles count nothing; a
+ *     fraction of a second is dropped
+ * @param roster the roster service
+ * @param store the store that all set-ups share
+ * @param troubles faults and load changes, each at its offset from the end of the warm-up
+ */
 public record Scenario(
         String name,
         String description,
@@ -25,9 +39,17 @@
         Rules rules,
         SharedStore store,
         List<Trouble> troubles) {
+    private static final long MIN_LINE_INTERVAL = 1_000_000L;
+
     /**
-     * `notice`: the front sends on to a relay that is gone for so long. `kept`: what a relay learned survives it, no
-     * older than `interval`; `known`: the list that a relay is started again with.
+     * The relays of a run.
+     *
+     * @param failureDetectionDelay how long the load balancer in front still sends new clients to a relay that was
+     *     killed
+     * @param maxSockets limit of open sockets of one relay
+     * @param persistsState whether a relay restores after a restart what it had learned before
+     * @param persistInterval upper bound for the age of the persisted state; a relay writes it twice per interval
+     * @param restartRoster the roster in the configuration of a relay that is started again
      */
     public record Relays(
             int count,
@@ -36,36 +58,53 @@
             boolean persistsState,
             long persistInterval,
             RestartRoster restartRoster) {
-        public Relays withStatePersistence(boolean on) {
-            return new Relays(count, failureDetectionDelay, maxSockets, on, persistInterval, restartRoster);
+        /** A copy with state persistence switched on or off. */
+        public Relays withStatePersistence(boolean persistsState) {
+            return new Relays(count, failureDetectionDelay, maxSockets, persistsState, persistInterval, restartRoster);
         }
     }
 
-    /** As the relay last had it; as it was before the run; none. */
+    /** The roster that the configuration of a restarted relay contains. */
     public enum RestartRoster {
+        /** The roster as the relay last received it. */
         LAST,
+        /** The roster as it was before the run. */
         FIRST,
+        /** An empty roster of version 0. */
         NONE
     }
 
-    /** How a roster service that is down fails, on sockets; in the model all four are calls that fail. */
+    /** How a roster service that is down fails on sockets. In the simulation each of them is a call that fails. */
     public enum RosterFailureMode {
+        /** Connections are refused. */
         REFUSES,
+        /** Requests are accepted and never answered. */
         HANGS,
+        /** Requests are answered with status 503. */
         ANSWERS_503,
+        /** An answer stops in the middle of a line and its connection stays open. */
         HALF_A_LINE
     }
 
+    /** One-way latency between any two nodes: each pair has a fixed value between the two limits, both inclusive. */
     public record Network(long minLatency, long maxLatency) {}
 
     /**
-     * `lag`: from a change to its telling; `notice`: how long a backend is dead before the service lists it as gone.
+     * The roster service.
+     *
+     * @param propagationDelay time from a change of the roster to its delivery to the relays
+     * @param failureDetectionDelay time from a backend's death to the change that lists it as gone
      */
     public record RosterService(long propagationDelay, long failureDetectionDelay) {}
 
     /**
-     * Backends alike. `speed`: work done in a second, in seconds; `weight`: as listed; `slots`: connections held at
-     * most.
+     * A group of identical backends, which are named NAME-1, NAME-2 and so on.
+     *
+     * @param weight the weight of each backend in the roster
+     * @param speed seconds of work that a warm backend does per second
+     * @param maxConnections limit of open connections of one backend, which answers further requests with BUSY
+     * @param startsInSlowStart whether the backends count as started at the end of the warm-up, so that they are cold
+     *     at the start of the measured time; otherwise they count as started long before the run
      */
     public record Fleet(
             String name,
@@ -77,9 +116,23 @@
             boolean startsInSlowStart) {}
 
     /**
-     * A use case. `rate`: arrivals a second over all relays; `standing`: opened in the warm-up to last the run; `life`:
-     * mean time open; `setUp` and `line`: work of one opening and of one line; `every`: a client's lines; `benefit`: of
-     * an opening in goal time, `lineBenefit`: of a line answered in `lineGoal`.
+     * The load of one use case.
+     *
+     * @param deduplicationScope `all`, `zone` or `cell`: the backends that share a deduplication window; used for
+     *     fingerprinted requests only
+     * @param deduplicationWindow how long a backend recognises a repeated request; used for fingerprinted requests only
+     * @param goalTime a connection that is established within this time brings its whole benefit; after it the benefit
+     *     falls linearly and reaches 0 at `cutOff`
+     * @param cutOff time after which a client gives up an association that was not answered
+     * @param arrivalRate new client sessions per second, over all relays together
+     * @param longLivedConnections number of sessions that start during the warm-up and last until the end of the run
+     * @param meanLifetime mean of the exponentially distributed duration of the other sessions
+     * @param setUpWork work of one set-up; a set-up costs twice as much on a backend that does not hold its group yet
+     * @param lineWork work of answering one line
+     * @param lineInterval time between two lines of one client
+     * @param lineGoalTime a line that is answered within this time brings `lineBenefit`; a later one brings nothing
+     * @param openingBenefit benefit of a connection that is established within `goalTime`
+     * @param lineBenefit benefit of a line that is answered within `lineGoalTime`
      */
     public record Workload(
             String name,
@@ -98,20 +151,49 @@
             double openingBenefit,
             double lineBenefit) {}
 
+    /** Whether a request may be sent to more than one backend. */
     public enum Effect {
+        /** Idempotent: it may run any number of times. */
         RETRIABLE,
+        /** It may be repeated only within the deduplication window and scope. */
         FINGERPRINTED,
+        /** It must run at most once, so it is never repeated once it may have run. */
         BINDING
     }
 
-    /** `count` 0: no groups. `skew`: 0 all alike, 1 Zipf's. `work`: what holding a group costs a backend, a second. */
+    /**
+     * The groups that client sessions belong to.
+     *
+     * @param count number of groups; 0: sessions have no group
+     * @param skew exponent of the Zipf distribution of sessions over groups; 0: all groups are equally frequent
+     * @param workPerSecond work per second that each group with an open connection on a backend costs that backend
+     */
     public record Groups(int count, double skew, long workPerSecond) {}
 
     /**
-     * `retries`: how often a client that was shed, or heard nothing, asks again; `backOff`: after how long, doubling.
+     * How clients react to failures.
+     *
+     * @param maxRetries number of retries after a request was shed, forfeited or not answered; a binding request is
+     *     retried only after it was shed
+     * @param initialBackoff mean wait before the first retry; it doubles with each further one, and the actual wait is
+     *     drawn at random between half of it and one and a half times it
+     * @param reconnects whether a client connects again after its connection broke or its backend sent it away
+     * @param maxReconnectDelay upper bound of the random delay before it reconnects
      */
     public record Clients(int maxRetries, long initialBackoff, boolean reconnects, long maxReconnectDelay) {}
 
+    /**
+     * The limits that relays are configured with and that the invariant checker checks.
+     *
+     * @param drainGrace how long after learning of a drain a relay may still dispatch to that backend
+     * @param slowStartInitialFactor share of its full capacity that a backend has when it starts, from 0.01 to 1
+     * @param slowStartDuration time over which that share grows linearly to 1
+     * @param slowStartBurstMultiple within any burst window a cold backend may get this multiple of the set-ups that a
+     *     backend of its speed and age can do
+     * @param slowStartBurstWindow length of the burst window
+     * @param maxDispatches maximum number of dispatches for one association
+     * @param maxRetryAfter longest retry delay that a relay asks clients for; 0: relays ask for none
+     */
     public record Rules(
             long drainGrace,
             double slowStartInitialFactor,
@@ -121,10 +203,25 @@
             int maxDispatches,
             long maxRetryAfter) {}
 
-    /** What all set-ups share; `work` 0: none. */
+    /**
+     * A store that every set-up uses, and that therefore can slow down all backends at once.
+     *
+     * @param workPerSetUp work of one set-up in the store; 0: there is no store
+     * @param speed seconds of work that the store does per second
+     */
     public record SharedStore(long workPerSetUp, double speed) {}
 
-    /** `backends` and `relays`: how many it strikes; `at` from the end of the warm-up on. */
+    /**
+     * A fault, or a change of load, that is injected during the run.
+     *
+     * @param startOffset offset from the end of the warm-up
+     * @param backendCount number of affected backends, chosen at random; 0 for kinds that affect none
+     * @param relayCount number of affected relays, chosen at random; 0 for kinds that affect none
+     * @param factor its meaning depends on the kind, see {@link TroubleKind}; 1 for kinds without a factor
+     * @param badClientRate clients per second that send an invalid request; 0 except for
+     *     {@link TroubleKind#BAD_CLIENTS}
+     * @param rosterFailureMode how the roster service fails; used by {@link TroubleKind#ROSTER_DOWN} only
+     */
     public record Trouble(
             TroubleKind kind,
             long startOffset,
@@ -135,23 +232,40 @@
             double badClientRate,
             RosterFailureMode rosterFailureMode) {}
 
+    /** What happens in a trouble. */
     public enum TroubleKind {
+        /** Backends die and start again after the duration. */
         KILL,
+        /** Backends process nothing during the duration and then go on. */
         HANG,
+        /** The speed of backends is multiplied by the factor. */
         SLOW,
+        /** Backends accept connections and do not answer requests. */
         SILENT_ACCEPT,
+        /** Backends are drained, send their clients away during the duration, and end. */
         DRAIN,
+        /** New backends of the first fleet are added. */
         JOIN,
+        /** The propagation delay of the roster is multiplied by the factor. */
         ROSTER_LAG,
+        /** The roster service fails in its failure mode. */
         ROSTER_DOWN,
+        /** Relays are killed and start again after the duration. */
         RELAY_KILL,
+        /** Relays are asked to stop and are then started again. */
         RELAY_RESTART,
+        /** Relays and backends cannot reach each other. */
         PARTITION,
+        /** The speed of the shared store is divided by the factor. */
         STORE_SLOW,
+        /** The factor is the share of new sessions that belong to one group. */
         HOT_GROUP,
+        /** The arrival rates are multiplied by the factor. */
         BURST,
+        /** Additional clients send invalid requests. */
         BAD_CLIENTS;
 
+        /** The value of `kind` in a scenario file. */
         public String tomlName() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
         }
@@ -175,7 +289,7 @@
         }
     }
 
-    /** The scenario is faulty: one line a fault, each with file, line and key. */
+    /** A scenario file has faults. The message has one line for each, with file, line number and key. */
     public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -186,15 +300,15 @@
         }
     }
 
-    /** The same with what relays learn kept, or not. */
-    public Scenario withStatePersistence(boolean on) {
+    /** A copy with state persistence of the relays switched on or off. */
+    public Scenario withStatePersistence(boolean persistsState) {
         return new Scenario(
                 name,
                 description,
                 warmUp,
                 duration,
                 measurementStart,
-                relays.withStatePersistence(on),
+                relays.withStatePersistence(persistsState),
                 network,
                 roster,
                 fleets,
@@ -206,204 +320,233 @@
                 troubles);
     }
 
+    /** Number of backends at the start of the run. */
     public int backendCount() {
         return fleets.stream().mapToInt(Fleet::count).sum();
     }
 
+    /** Time from the start of the run to its end, in nanoseconds. */
     public long endTime() {
         return warmUp + duration;
     }
 
+    /** Reads and validates a TOML file. */
     public static Scenario read(Path path) throws IOException, InvalidScenarioException {
         return read(TomlDocument.read(path));
     }
 
-    public static Scenario read(TomlDocument sheet) throws InvalidScenarioException {
-        TomlDocument.Table top = sheet.rootTable();
-        String name = top.readText("name", null);
-        String says = top.readText("says", "");
-        long warmUp = top.readDurationNanos("warm-up", "10s");
-        long length = top.readDurationNanos("length", "60s");
-        long countFrom = top.readDurationNanos("count-from", "0s");
-        if (countFrom >= length) {
-            top.addFault("count-from", "is malformed: expected a time before the run's length");
+    /** Validates a parsed document. Unknown keys are faults; all faults are reported at once. */
+    public static Scenario read(TomlDocument document) throws InvalidScenarioException {
+        TomlDocument.Table root = document.rootTable();
+        String name = root.readText("name", null);
+        String description = root.readText("says", "");
+        long warmUp = root.readDurationNanos("warm-up", "10s");
+        long duration = root.readDurationNanos("length", "60s");
+        long measurementStart = root.readDurationNanos("count-from", "0s");
+        if (measurementStart >= duration) {
+            root.addFault("count-from", "is malformed: expected a time before the run's length");
         }
-        TomlDocument.Table r = top.readTable("relays");
+        TomlDocument.Table relaysTable = root.readTable("relays");
         Relays relays = new Relays(
-                (int) r.readLong("count", 2L, 1, 1000),
-                r.readDurationNanos("notice", "1s"),
-                (int) r.readLong("sockets", 65_536L, 128, 1 << 20),
-                r.readBoolean("kept", false),
-                r.readDurationNanos("interval", "2s"),
-                RestartRoster.valueOf(r.readChoice("known", "last", tomlNames(RestartRoster.values()))
+                (int) relaysTable.readLong("count", 2L, 1, 1000),
+                relaysTable.readDurationNanos("notice", "1s"),
+                (int) relaysTable.readLong("sockets", 65_536L, 128, 1 << 20),
+                relaysTable.readBoolean("kept", false),
+                relaysTable.readDurationNanos("interval", "2s"),
+                RestartRoster.valueOf(relaysTable
+                        .readChoice("known", "last", tomlNames(RestartRoster.values()))
                         .toUpperCase(java.util.Locale.ROOT)));
-        r.reportUnknownKeys();
-        TomlDocument.Table n = top.readTable("network");
-        Network network = new Network(n.readDurationNanos("least", "200us"), n.readDurationNanos("most", "800us"));
+        relaysTable.reportUnknownKeys();
+        TomlDocument.Table networkTable = root.readTable("network");
+        Network network = new Network(
+                networkTable.readDurationNanos("least", "200us"), networkTable.readDurationNanos("most", "800us"));
         if (network.maxLatency < network.minLatency) {
-            n.addFault("most", "is malformed: expected no less than least");
+            networkTable.addFault("most", "is malformed: expected a time not below least");
         }
-        n.reportUnknownKeys();
-        TomlDocument.Table ro = top.readTable("roster");
-        RosterService roster =
-                new RosterService(ro.readDurationNanos("lag", "200ms"), ro.readDurationNanos("notice", "2s"));
-        ro.reportUnknownKeys();
-        List<Fleet> fleets = fleets(top);
-        List<Workload> works = works(top);
-        TomlDocument.Table g = top.readTable("groups");
+        networkTable.reportUnknownKeys();
+        TomlDocument.Table rosterTable = root.readTable("roster");
+        RosterService roster = new RosterService(
+                rosterTable.readDurationNanos("lag", "200ms"), rosterTable.readDurationNanos("notice", "2s"));
+        rosterTable.reportUnknownKeys();
+        List<Fleet> fleets = readFleets(root);
+        List<Workload> workloads = readWorkloads(root);
+        TomlDocument.Table groupsTable = root.readTable("groups");
         Groups groups = new Groups(
-                (int) g.readLong("count", 0L, 0, 10_000_000),
-                g.readDouble("skew", 0.0, 0, 3),
-                g.readDurationNanos("work", "0ms"));
-        g.reportUnknownKeys();
-        TomlDocument.Table c = top.readTable("clients");
+                (int) groupsTable.readLong("count", 0L, 0, 10_000_000),
+                groupsTable.readDouble("skew", 0.0, 0, 3),
+                groupsTable.readDurationNanos("work", "0ms"));
+        groupsTable.reportUnknownKeys();
+        TomlDocument.Table clientsTable = root.readTable("clients");
         Clients clients = new Clients(
-                (int) c.readLong("retries", 2L, 0, 100),
-                c.readDurationNanos("back-off", "500ms"),
-                c.readBoolean("returns", true),
-                c.readDurationNanos("return-within", "400ms"));
-        c.reportUnknownKeys();
-        TomlDocument.Table u = top.readTable("rules");
+                (int) clientsTable.readLong("retries", 2L, 0, 100),
+                clientsTable.readDurationNanos("back-off", "500ms"),
+                clientsTable.readBoolean("returns", true),
+                clientsTable.readDurationNanos("return-within", "400ms"));
+        clientsTable.reportUnknownKeys();
+        TomlDocument.Table rulesTable = root.readTable("rules");
         Rules rules = new Rules(
-                u.readDurationNanos("drain-grace", "1s"),
-                u.readDouble("cold-from", 0.2, 0.01, 1),
-                u.readDurationNanos("cold", "10s"),
-                u.readDouble("fall-multiple", 3.0, 1, 100),
-                u.readDurationNanos("fall", "3s"),
-                (int) u.readLong("dispatches", 4L, 1, 100),
-                u.readDurationNanos("retry-after", "1500ms"));
-        u.reportUnknownKeys();
-        TomlDocument.Table s = top.readTable("store");
-        SharedStore store = new SharedStore(s.readDurationNanos("work", "0ms"), s.readDouble("speed", 1.0, 0.001, 1e6));
-        s.reportUnknownKeys();
-        int backends = fleets.stream().mapToInt(Fleet::count).sum();
-        List<Trouble> troubles = troubles(top, backends, relays.count, length, store, groups);
-        top.reportUnknownKeys();
-        if (!sheet.faults().isEmpty()) {
-            throw new InvalidScenarioException(sheet.faults());
+                rulesTable.readDurationNanos("drain-grace", "1s"),
+                rulesTable.readDouble("cold-from", 0.2, 0.01, 1),
+                rulesTable.readDurationNanos("cold", "10s"),
+                rulesTable.readDouble("fall-multiple", 3.0, 1, 100),
+                rulesTable.readDurationNanos("fall", "3s"),
+                (int) rulesTable.readLong("dispatches", 4L, 1, 100),
+                rulesTable.readDurationNanos("retry-after", "1500ms"));
+        rulesTable.reportUnknownKeys();
+        TomlDocument.Table storeTable = root.readTable("store");
+        SharedStore store = new SharedStore(
+                storeTable.readDurationNanos("work", "0ms"), storeTable.readDouble("speed", 1.0, 0.001, 1e6));
+        storeTable.reportUnknownKeys();
+        int backendCount = fleets.stream().mapToInt(Fleet::count).sum();
+        List<Trouble> troubles = readTroubles(root, backendCount, relays.count, duration, store, groups);
+        root.reportUnknownKeys();
+        if (!document.faults().isEmpty()) {
+            throw new InvalidScenarioException(document.faults());
         }
         return new Scenario(
-                name, says, warmUp, length, countFrom, relays, network, roster, fleets, works, groups, clients, rules,
-                store, troubles);
+                name,
+                description,
+                warmUp,
+                duration,
+                measurementStart,
+                relays,
+                network,
+                roster,
+                fleets,
+                workloads,
+                groups,
+                clients,
+                rules,
+                store,
+                troubles);
     }
 
-    private static List<Fleet> fleets(TomlDocument.Table top) {
+    private static List<Fleet> readFleets(TomlDocument.Table root) {
         List<Fleet> fleets = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TomlDocument.Table f : top.readTables("fleet")) {
+        for (TomlDocument.Table fleetTable : root.readTables("fleet")) {
             Fleet fleet = new Fleet(
-                    f.readText("name", "s"),
-                    (int) f.readLong("count", null, 1, 100_000),
-                    f.readDouble("weight", 1.0, 0.01, 100),
-                    f.readDouble("speed", 1.0, 0.001, 1000),
-                    f.readText("zone", "a"),
-                    (int) f.readLong("slots", 1_000_000L, 1, 1 << 24),
-                    f.readBoolean("cold", false));
+                    fleetTable.readText("name", "s"),
+                    (int) fleetTable.readLong("count", null, 1, 100_000),
+                    fleetTable.readDouble("weight", 1.0, 0.01, 100),
+                    fleetTable.readDouble("speed", 1.0, 0.001, 1000),
+                    fleetTable.readText("zone", "a"),
+                    (int) fleetTable.readLong("slots", 1_000_000L, 1, 1 << 24),
+                    fleetTable.readBoolean("cold", false));
             if (!names.add(fleet.name)) {
-                f.addFault("name", "is taken by another fleet");
+                fleetTable.addFault("name", "is already the name of another fleet");
             }
-            f.reportUnknownKeys();
+            fleetTable.reportUnknownKeys();
             fleets.add(fleet);
         }
         if (fleets.isEmpty()) {
-            top.addFault("fleet", "is missing: expected one [[fleet]] at least");
+            root.addFault("fleet", "is missing: expected at least one [[fleet]]");
         }
         return fleets;
     }
 
-    private static List<Workload> works(TomlDocument.Table top) {
-        List<Workload> works = new ArrayList<>();
+    private static List<Workload> readWorkloads(TomlDocument.Table root) {
+        List<Workload> workloads = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TomlDocument.Table w : top.readTables("use-case")) {
-            String effect = w.readChoice("effect", "retriable", List.of("retriable", "fingerprinted", "binding"));
-            long goal = w.readDurationNanos("goal", "400ms");
-            long cutOff = w.readDurationNanos("cut-off", "2s");
-            Workload work = new Workload(
-                    w.readText("name", null),
-                    Effect.valueOf(effect.toUpperCase(java.util.Locale.ROOT)),
-                    w.readChoice("scope", "zone", List.of("all", "zone", "cell")),
-                    w.readDurationNanos("window", "500ms"),
-                    goal,
+        for (TomlDocument.Table workloadTable : root.readTables("use-case")) {
+            String effectName =
+                    workloadTable.readChoice("effect", "retriable", List.of("retriable", "fingerprinted", "binding"));
+            long goalTime = workloadTable.readDurationNanos("goal", "400ms");
+            long cutOff = workloadTable.readDurationNanos("cut-off", "2s");
+            Workload workload = new Workload(
+                    workloadTable.readText("name", null),
+                    Effect.valueOf(effectName.toUpperCase(java.util.Locale.ROOT)),
+                    workloadTable.readChoice("scope", "zone", List.of("all", "zone", "cell")),
+                    workloadTable.readDurationNanos("window", "500ms"),
+                    goalTime,
                     cutOff,
-                    w.readDouble("rate", 0.0, 0, 1e6),
-                    (int) w.readLong("standing", 0L, 0, 10_000_000),
-                    w.readDurationNanos("life", "20s"),
-                    w.readDurationNanos("set-up", "5ms"),
-                    w.readDurationNanos("line", "200us"),
-                    w.readDurationNanos("every", "2s"),
-                    w.readDurationNanos("line-goal", "100ms"),
-                    w.readDouble("benefit", 1.0, 0, 1e6),
-                    w.readDouble("line-benefit", 0.1, 0, 1e6));
-            if (cutOff <= goal) {
-                w.addFault("cut-off", "is malformed: expected more than goal");
+                    workloadTable.readDouble("rate", 0.0, 0, 1e6),
+                    (int) workloadTable.readLong("standing", 0L, 0, 10_000_000),
+                    workloadTable.readDurationNanos("life", "20s"),
+                    workloadTable.readDurationNanos("set-up", "5ms"),
+                    workloadTable.readDurationNanos("line", "200us"),
+                    workloadTable.readDurationNanos("every", "2s"),
+                    workloadTable.readDurationNanos("line-goal", "100ms"),
+                    workloadTable.readDouble("benefit", 1.0, 0, 1e6),
+                    workloadTable.readDouble("line-benefit", 0.1, 0, 1e6));
+            if (cutOff <= goalTime) {
+                workloadTable.addFault("cut-off", "is malformed: expected a time greater than goal");
             }
-            if (work.lineInterval < 1_000_000) {
-                w.addFault("every", "is malformed: expected 1ms at least");
+            if (workload.lineInterval < MIN_LINE_INTERVAL) {
+                workloadTable.addFault("every", "is malformed: expected at least 1ms");
             }
-            if (work.name != null && !names.add(work.name)) {
-                w.addFault("name", "is taken by another use case");
+            if (workload.name != null && !names.add(workload.name)) {
+                workloadTable.addFault("name", "is already the name of another use case");
             }
-            w.reportUnknownKeys();
-            works.add(work);
+            workloadTable.reportUnknownKeys();
+            workloads.add(workload);
         }
-        if (works.isEmpty()) {
-            top.addFault("use-case", "is missing: expected one [[use-case]] at least");
+        if (workloads.isEmpty()) {
+            root.addFault("use-case", "is missing: expected at least one [[use-case]]");
         }
-        return works;
+        return workloads;
     }
 
+    /** The values of an enum as a scenario file writes them. */
     private static List<String> tomlNames(Enum<?>[] values) {
         return java.util.Arrays.stream(values)
-                .map(v -> v.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'))
+                .map(value -> value.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'))
                 .toList();
     }
 
-    private static List<Trouble> troubles(
-            TomlDocument.Table top, int backends, int relays, long length, SharedStore store, Groups groups) {
+    private static List<Trouble> readTroubles(
+            TomlDocument.Table root,
+            int backendCount,
+            int relayCount,
+            long runDuration,
+            SharedStore store,
+            Groups groups) {
         List<Trouble> troubles = new ArrayList<>();
-        List<String> words = java.util.Arrays.stream(TroubleKind.values())
+        List<String> kindNames = java.util.Arrays.stream(TroubleKind.values())
                 .map(TroubleKind::tomlName)
                 .toList();
-        for (TomlDocument.Table t : top.readTables("trouble")) {
-            String word = t.readChoice("kind", null, words);
-            TroubleKind kind = word == null
+        for (TomlDocument.Table troubleTable : root.readTables("trouble")) {
+            String kindName = troubleTable.readChoice("kind", null, kindNames);
+            TroubleKind kind = kindName == null
                     ? null
                     : TroubleKind.valueOf(
-                            word.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-            long at = t.readDurationNanos("at", null);
-            long lasts = t.readDurationNanos("lasts", "5s");
+                            kindName.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+            long startOffset = troubleTable.readDurationNanos("at", null);
+            long duration = troubleTable.readDurationNanos("lasts", "5s");
             if (kind == null) {
                 continue;
             }
-            int struck = kind.affectsBackends()
-                    ? (int) t.readLong("backends", 1L, 1, kind == TroubleKind.JOIN ? 100_000 : backends)
+            int affectedBackends = kind.affectsBackends()
+                    ? (int) troubleTable.readLong("backends", 1L, 1, kind == TroubleKind.JOIN ? 100_000 : backendCount)
                     : 0;
-            int away = kind.affectsRelays() ? (int) t.readLong("relays", 1L, 1, relays) : 0;
-            double factor = kind.hasFactor() ? t.readDouble("factor", null, 0.001, 1e6) : 1;
-            String how = kind == TroubleKind.ROSTER_DOWN
-                    ? t.readChoice("how", "answers-503", tomlNames(RosterFailureMode.values()))
+            int affectedRelays = kind.affectsRelays() ? (int) troubleTable.readLong("relays", 1L, 1, relayCount) : 0;
+            double factor = kind.hasFactor() ? troubleTable.readDouble("factor", null, 0.001, 1e6) : 1;
+            String failureModeName = kind == TroubleKind.ROSTER_DOWN
+                    ? troubleTable.readChoice("how", "answers-503", tomlNames(RosterFailureMode.values()))
                     : "answers-503";
-            double rate = kind == TroubleKind.BAD_CLIENTS ? t.readDouble("rate", 50.0, 0.1, 1e5) : 0;
-            if (at >= length) {
-                t.addFault("at", "is malformed: expected a time before the run's length");
+            double badClientRate =
+                    kind == TroubleKind.BAD_CLIENTS ? troubleTable.readDouble("rate", 50.0, 0.1, 1e5) : 0;
+            if (startOffset >= runDuration) {
+                troubleTable.addFault("at", "is malformed: expected a time before the run's length");
             }
             if (kind == TroubleKind.STORE_SLOW && store.workPerSetUp == 0) {
-                t.addFault("kind", "needs a [store] with work");
+                troubleTable.addFault("kind", "is store-slow: expected a [store] whose work is above 0");
             }
             if (kind == TroubleKind.HOT_GROUP && (groups.count == 0 || factor > 1)) {
-                t.addFault("factor", "is malformed: expected a share up to 1, and [groups] with a count");
+                troubleTable.addFault(
+                        "factor", "is malformed: expected a share of at most 1, and [groups] with a count above 0");
             }
-            t.reportUnknownKeys();
+            troubleTable.reportUnknownKeys();
             troubles.add(new Trouble(
                     kind,
-                    at,
-                    lasts,
-                    struck,
-                    away,
+                    startOffset,
+                    duration,
+                    affectedBackends,
+                    affectedRelays,
                     factor,
-                    rate,
+                    badClientRate,
                     RosterFailureMode.valueOf(
-                            how.toUpperCase(java.util.Locale.ROOT).replace('-', '_'))));
+                            failureModeName.toUpperCase(java.util.Locale.ROOT).replace('-', '_'))));
         }
         return troubles;
     }
--- a/lab/src/test/java/ambertrestle/lab/CrashConsistencyCheckTest.java
+++ b/lab/src/test/java/ambertrestle/lab/CrashConsistencyCheckTest.java
@@ -14,9 +14,9 @@
 
     @Test
     void killedWriterAlwaysLeavesAnIntactStateFile() throws Exception {
-        CrashConsistencyCheck.Report found = new CrashConsistencyCheck(dir, 200_000_000L, 200, 2000).run(8, 2, 5);
-        assertThat(found.failures()).isEmpty();
-        assertThat(found.intactFiles()).isEqualTo(8);
-        assertThat(found.skippedFiles()).isZero();
+        CrashConsistencyCheck.Report report = new CrashConsistencyCheck(dir, 200_000_000L, 200, 2000).run(8, 2, 5);
+        assertThat(report.failures()).isEmpty();
+        assertThat(report.intactFiles()).isEqualTo(8);
+        assertThat(report.skippedFiles()).isZero();
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
+++ b/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
@@ -19,16 +19,16 @@
     private Path dir;
 
     private LoopbackTestbed runScenario(String name) throws Exception {
-        LoopbackTestbed world = LoopbackTestbed.create(Scenario.read(Path.of("scenarios", name)), 1, JAR, dir);
-        assertThat(world.run(second -> true)).isTrue();
-        return world;
+        LoopbackTestbed testbed = LoopbackTestbed.create(Scenario.read(Path.of("scenarios", name)), 1, JAR, dir);
+        assertThat(testbed.run(second -> true)).isTrue();
+        return testbed;
     }
 
-    private static void assertInvariantsHold(LoopbackTestbed world) {
-        assertThat(world.connectionTotals())
+    private static void assertInvariantsHold(LoopbackTestbed testbed) {
+        assertThat(testbed.connectionTotals())
                 .containsEntry("answers unaccounted for", 0L)
                 .containsEntry("ends unaccounted for", 0L);
-        for (Invariant rule : new Invariant[] {
+        for (Invariant invariant : new Invariant[] {
             Invariant.NOTHING_AFTER_FINAL_ANSWER,
             Invariant.NO_DUPLICATE_EFFECT,
             Invariant.NO_SHED_IF_MAY_HAVE_RUN,
@@ -36,8 +36,8 @@
             Invariant.NO_OVERLOAD_IN_SLOW_START,
             Invariant.NO_INVALID_REQUEST_AT_BACKEND
         }) {
-            assertThat(world.invariantChecker.violationCounts().get(rule))
-                    .as(rule.description + " " + world.invariantChecker.violationMessages())
+            assertThat(testbed.invariantChecker.violationCounts().get(invariant))
+                    .as(invariant.description + " " + testbed.invariantChecker.violationMessages())
                     .isZero();
         }
     }
@@ -45,29 +45,29 @@
     /** Counts, not times, so that a busy machine gives the same verdict. */
     @Test
     void invariantsHoldDuringDrainBackendCrashAndRelayCrash() throws Exception {
-        LoopbackTestbed world = runScenario("short-sockets.toml");
-        assertInvariantsHold(world);
-        assertThat(world.metrics.sum(Series.ESTABLISHED)).isGreaterThan(100);
-        assertThat(world.metrics.sum(Series.DONE)).isPositive();
-        assertThat(world.metrics.sum(Series.BROKEN))
+        LoopbackTestbed testbed = runScenario("short-sockets.toml");
+        assertInvariantsHold(testbed);
+        assertThat(testbed.metrics.sum(Series.ESTABLISHED)).isGreaterThan(100);
+        assertThat(testbed.metrics.sum(Series.DONE)).isPositive();
+        assertThat(testbed.metrics.sum(Series.BROKEN))
                 .as("the dead backend's and the dead relay's")
                 .isPositive();
-        assertThat(world.metrics.sum(Series.RECONNECTS)).isPositive();
-        assertThat(world.eventLog()).anyMatch(line -> line.contains("relay-kill of 1 relays begins"));
+        assertThat(testbed.metrics.sum(Series.RECONNECTS)).isPositive();
+        assertThat(testbed.eventLog()).anyMatch(event -> event.contains("relay-kill of 1 relays begins"));
     }
 
     /** Killed with the roster service away and no list in their configuration, relays serve on what they kept. */
     @Test
     void restartedRelaysServeFromPersistedRosterWhileRosterServiceIsDown() throws Exception {
-        LoopbackTestbed world = runScenario("short-away.toml");
-        assertInvariantsHold(world);
+        LoopbackTestbed testbed = runScenario("short-away.toml");
+        assertInvariantsHold(testbed);
         for (String relay : new String[] {"relay-0", "relay-1"}) {
-            int died = indexOf(world, "relay-kill of 2 relays begins");
-            int up = indexOf(world, relay + " has its first UP");
-            assertThat(up)
-                    .as(world.eventLog().toString())
-                    .isGreaterThan(died)
-                    .isLessThan(indexOf(world, "roster-down ends"));
+            int killedIndex = indexOfEvent(testbed, "relay-kill of 2 relays begins");
+            int firstUpIndex = indexOfEvent(testbed, relay + " has its first UP");
+            assertThat(firstUpIndex)
+                    .as(testbed.eventLog().toString())
+                    .isGreaterThan(killedIndex)
+                    .isLessThan(indexOfEvent(testbed, "roster-down ends"));
             String log = Files.readString(dir.resolve(relay + ".log"));
             assertThat(log)
                     .contains("start-from-known: ")
@@ -77,9 +77,9 @@
         }
     }
 
-    private static int indexOf(LoopbackTestbed world, String what) {
-        for (int i = 0; i < world.eventLog().size(); i++) {
-            if (world.eventLog().get(i).contains(what)) {
+    private static int indexOfEvent(LoopbackTestbed testbed, String text) {
+        for (int i = 0; i < testbed.eventLog().size(); i++) {
+            if (testbed.eventLog().get(i).contains(text)) {
                 return i;
             }
         }
@@ -89,11 +89,11 @@
     /** While cut off, dials never come up: the relay must call them not connected and go on elsewhere. */
     @Test
     void invariantsHoldDuringPartitionAndBackendHang() throws Exception {
-        LoopbackTestbed world = runScenario("short-partition.toml");
-        assertInvariantsHold(world);
-        assertThat(world.metrics.sum(Series.ESTABLISHED)).isGreaterThan(50);
-        assertThat(world.eventLog())
-                .anyMatch(line -> line.contains("partition of 3 backends begins"))
-                .anyMatch(line -> line.endsWith("partition ends"));
+        LoopbackTestbed testbed = runScenario("short-partition.toml");
+        assertInvariantsHold(testbed);
+        assertThat(testbed.metrics.sum(Series.ESTABLISHED)).isGreaterThan(50);
+        assertThat(testbed.eventLog())
+                .anyMatch(event -> event.contains("partition of 3 backends begins"))
+                .anyMatch(event -> event.endsWith("partition ends"));
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
@@ -22,19 +22,19 @@
     @Test
     void shippedScenariosCoverEveryTroubleKindAndThreeOverlapTroubles() throws Exception {
         Set<TroubleKind> kinds = EnumSet.noneOf(TroubleKind.class);
-        int overlapping = 0;
+        int overlappingScenarios = 0;
         for (Path file : TestScenarios.shippedScenarios()) {
-            Scenario s = Scenario.read(file);
-            s.troubles().forEach(t -> kinds.add(t.kind()));
-            overlapping += s.troubles().stream().anyMatch(t -> s.troubles().stream()
-                            .anyMatch(o -> o.kind() != t.kind()
-                                    && o.startOffset() < t.startOffset() + t.duration()
-                                    && t.startOffset() < o.startOffset() + o.duration()))
+            Scenario scenario = Scenario.read(file);
+            scenario.troubles().forEach(trouble -> kinds.add(trouble.kind()));
+            overlappingScenarios += scenario.troubles().stream().anyMatch(trouble -> scenario.troubles().stream()
+                            .anyMatch(other -> other.kind() != trouble.kind()
+                                    && other.startOffset() < trouble.startOffset() + trouble.duration()
+                                    && trouble.startOffset() < other.startOffset() + other.duration()))
                     ? 1
                     : 0;
         }
         assertThat(kinds).containsExactlyInAnyOrder(TroubleKind.values());
-        assertThat(overlapping).isGreaterThanOrEqualTo(3);
+        assertThat(overlappingScenarios).isGreaterThanOrEqualTo(3);
     }
 
     @Test
@@ -85,12 +85,12 @@
     void invalidScenarioRunsNothingAndExitsWithOne() throws Exception {
         Path file = dir.resolve("faulty.toml");
         Files.writeString(file, TestScenarios.SMALL.replace("rate = 40.0", "rate = \"many\""));
-        StringWriter err = new StringWriter();
-        CommandLine line = Lab.commandLine().setErr(new PrintWriter(err));
-        assertThat(line.execute(
+        StringWriter errorOutput = new StringWriter();
+        CommandLine commandLine = Lab.commandLine().setErr(new PrintWriter(errorOutput));
+        assertThat(commandLine.execute(
                         "run", file.toString(), "--out", dir.resolve("out").toString()))
                 .isEqualTo(1);
-        assertThat(err.toString()).contains("faulty.toml:15: use-case[1].rate is malformed: expected a number");
+        assertThat(errorOutput.toString()).contains("faulty.toml:15: use-case[1].rate is malformed: expected a number");
         assertThat(dir.resolve("out")).doesNotExist();
     }
 
@@ -98,11 +98,17 @@
     void unknownPoliciesAndMalformedSeedsAreUsageErrors() throws Exception {
         Path file = dir.resolve("small.toml");
         Files.writeString(file, TestScenarios.SMALL);
-        StringWriter err = new StringWriter();
-        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--policy", "best"))
+        StringWriter errorOutput = new StringWriter();
+        assertThat(Lab.commandLine()
+                        .setErr(new PrintWriter(errorOutput))
+                        .execute("run", file.toString(), "--policy", "best"))
                 .isEqualTo(2);
-        assertThat(Lab.commandLine().setErr(new PrintWriter(err)).execute("run", file.toString(), "--seeds", "5-1"))
+        assertThat(Lab.commandLine()
+                        .setErr(new PrintWriter(errorOutput))
+                        .execute("run", file.toString(), "--seeds", "5-1"))
                 .isEqualTo(2);
-        assertThat(err.toString()).contains("--policy best is not known").contains("--seeds is malformed");
+        assertThat(errorOutput.toString())
+                .contains("--policy best is not known")
+                .contains("--seeds is malformed");
     }
 }
--- a/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
@@ -41,31 +41,31 @@
 
     @Test
     void invariantsHoldAndBenefitShareIsReachedInEveryShippedScenario() throws Exception {
-        List<Path> files = TestScenarios.shippedScenarios().stream()
-                .filter(f -> !f.endsWith("large.toml"))
+        List<Path> scenarioFiles = TestScenarios.shippedScenarios().stream()
+                .filter(file -> !file.endsWith("large.toml"))
                 .toList();
-        assertThat(files.size()).isGreaterThanOrEqualTo(15);
-        Map<String, String> faults = new ConcurrentSkipListMap<>();
-        files.parallelStream().forEach(file -> {
+        assertThat(scenarioFiles.size()).isGreaterThanOrEqualTo(15);
+        Map<String, String> failures = new ConcurrentSkipListMap<>();
+        scenarioFiles.parallelStream().forEach(file -> {
             try {
-                SimulatedTestbed world = new SimulatedTestbed(Scenario.read(file), "module", 1);
-                world.run(second -> true);
-                double share = world.metrics.sum(Series.BENEFIT) / world.metrics.sum(Series.OFFERED_BENEFIT);
-                String name = world.scenario.name();
-                if (!world.invariantChecker.hasNoViolations()
-                        || share < MIN_BENEFIT_SHARES.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
-                        || world.unansweredBadClients() > 0
-                        || world.connectionTotals().get("answers unaccounted for") != 0
-                        || world.connectionTotals().get("ends unaccounted for") != 0) {
-                    faults.put(
+                SimulatedTestbed testbed = new SimulatedTestbed(Scenario.read(file), "module", 1);
+                testbed.run(second -> true);
+                double benefitShare = testbed.metrics.sum(Series.BENEFIT) / testbed.metrics.sum(Series.OFFERED_BENEFIT);
+                String name = testbed.scenario.name();
+                if (!testbed.invariantChecker.hasNoViolations()
+                        || benefitShare < MIN_BENEFIT_SHARES.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
+                        || testbed.unansweredBadClients() > 0
+                        || testbed.connectionTotals().get("answers unaccounted for") != 0
+                        || testbed.connectionTotals().get("ends unaccounted for") != 0) {
+                    failures.put(
                             name,
-                            share + " " + world.invariantChecker.violationMessages() + " "
-                                    + world.unansweredBadClients() + " " + world.connectionTotals());
+                            benefitShare + " " + testbed.invariantChecker.violationMessages() + " "
+                                    + testbed.unansweredBadClients() + " " + testbed.connectionTotals());
                 }
             } catch (Exception e) {
-                faults.put(file.toString(), e.toString());
+                failures.put(file.toString(), e.toString());
             }
         });
-        assertThat(faults).isEmpty();
+        assertThat(failures).isEmpty();
     }
 }
