--- a/lab/src/main/java/ambertrestle/lab/loopback/BackendServer.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/BackendServer.java
@@ -26,24 +26,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Owns the listening sockets of one stand-in backend, one for each relay, so that it knows who dials, and plays the
- * network between each pair: it can delay what passes, hold it all back, keep connections from coming up, reset them,
- * refuse them. What the backend does with a connection is the world's {@link SimulatedBackend}, the same as in the
- * model.
+ * The sockets of one simulated backend. It listens on one port per relay, so that it knows which relay connects, and
+ * emulates the network between each of these pairs: it can delay data, hold it back during a partition, prevent, refuse
+ * or reset connections. How the backend handles a connection is decided by {@link SimulatedBackend}, which the
+ * simulation uses too. All methods run on the event loop.
  */
 final class BackendServer {
     private static final String HOST = RelayLauncher.HOST;
-    private static final int BACKLOG = 64, MAX_LINE_BYTES = 4096;
-    /** Shorter delays than this are the loopback's own. */
+    private static final int BACKLOG = 64;
+    private static final int MAX_LINE_BYTES = 4096;
+    /** Simulated latencies below this are not added, because the loopback itself takes about as long. */
     private static final long MIN_DELAY_NANOS = 1_000_000L;
 
     private final EventLoop loop;
     private final LoopbackTestbed testbed;
     private final SimulatedBackend simulatedBackend;
     private final List<? extends RelayInstance> relays;
+    /** The port for each relay; 0 before the first {@link #listen}, which keeps the port when it is called again. */
     private final int[] ports;
+    /** The listening channel for each relay. */
     private final Channel[] serverChannels;
-    /** While a pair is cut off: connections that fill the backlog, so that the kernel drops every further SYN. */
+    /**
+     * For each relay, during a partition: connections that fill the backlog of the listening socket, so that the kernel
+     * drops every further SYN.
+     */
     private final List<List<java.nio.channels.SocketChannel>> backlogFillers = new ArrayList<>();
 
     BackendServer(
@@ -58,10 +64,12 @@
         simulatedBackend.setLifecycleCallbacks(this::stopListening, this::listen);
     }
 
+    /** The host:port under which the given relay reaches this backend. */
     String address(int relayNumber) {
         return HOST + ":" + ports[relayNumber];
     }
 
+    /** Starts listening for all relays; the result fails if a port cannot be bound. */
     CompletableFuture<Void> listen() {
         List<CompletableFuture<Void>> pending = new ArrayList<>();
         for (int i = 0; i < ports.length; i++) {
@@ -98,7 +106,7 @@
         return CompletableFuture.allOf(pending.toArray(CompletableFuture[]::new));
     }
 
-    /** New connections are refused; those that are up are the node's to reset. */
+    /** Makes new connections fail as refused. Open connections are reset by the {@link SimulatedBackend}. */
     private void stopListening() {
         for (int i = 0; i < serverChannels.length; i++) {
             serverChannels[i].close();
@@ -117,7 +125,10 @@
         backlogFillers.get(relayNumber).clear();
     }
 
-    /** Cut off, no connection from that relay comes up; healed, those that still try do. */
+    /**
+     * Starts or ends a partition for new connections from a relay. During a partition its connects time out. After the
+     * end, connects that are still being retried succeed.
+     */
     void setPartitioned(int relayNumber, boolean partitioned) {
         serverChannels[relayNumber].config().setAutoRead(!partitioned);
         try {
@@ -135,10 +146,12 @@
         }
     }
 
+    /** One connection from a relay. */
     private final class RelayConnection extends BackendConnection {
         private final Channel channel;
         private final RelayInstance relay;
         private final long oneWayDelayNanos;
+        /** Whether no line has arrived yet; the first one is the OPEN request. */
         private boolean isFirstLine = true;
 
         RelayConnection(Channel channel, RelayInstance relay) {
@@ -148,7 +161,10 @@
             oneWayDelayNanos = latency >= MIN_DELAY_NANOS ? latency : 0;
         }
 
-        /** Danger: while a partition holds, what the relay wrote is on its way and must not be acted on. */
+        /**
+         * Runs an action after the one-way delay, and during a partition not before its end. Without that wait the two
+         * sides would act on data that is still in flight in a real network.
+         */
         private void runWhenDelivered(Runnable action) {
             long deliveredAt = testbed.reachableAt(relay, simulatedBackend) + oneWayDelayNanos;
             if (deliveredAt <= testbed.now()) {
@@ -166,7 +182,9 @@
             } else {
                 simulatedBackend.onLine(this);
             }
-            // Danger: what a partition held back may come after its connection's end, which nobody would tell again.
+            // A line that a partition held back may arrive after the connection was closed, and channelInactive does
+            // not
+            // run a second time. Without this call the dispatch of such a line would never be marked as ended.
             if (!channel.isActive()) {
                 onDisconnected();
             }
@@ -202,7 +220,7 @@
             }
         }
 
-        /** What the channel brings. */
+        /** Forwards the channel's events to the simulated backend. */
         private final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
             @Override
             public void channelActive(ChannelHandlerContext context) {
@@ -222,7 +240,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                // The peer reset it; what that means is told when the channel is gone.
+                // The peer reset the connection; channelInactive handles the end.
                 context.close();
             }
         }
--- a/lab/src/main/java/ambertrestle/lab/loopback/CrashConsistencyCheck.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/CrashConsistencyCheck.java
@@ -27,16 +27,32 @@
 import java.util.stream.Stream;
 
 /**
- * Kills processes that write a relay's state, each at a random moment of its writing, and looks at what they leave. The
- * process is this class's own main: the daemon's keeper, a state of the size asked for, one write after the other on
- * the daemon's terms.
+ * Checks that a relay's persisted state survives a crash: kills processes at a random moment while they write state,
+ * and restores what each leaves behind. The writer process runs this class's {@link #main}: it uses the daemon's state
+ * store, with a state of the requested size and the daemon's write interval. Times are in nanoseconds.
  */
 public final class CrashConsistencyCheck {
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+    private static final long MS = 1_000_000L;
+    private static final long SECOND = 1_000 * MS;
     private static final long MAX_AGE = 24 * 3_600 * SECOND;
+    private static final long MAX_FRESH_ROSTER_AGE = 2 * SECOND;
+    private static final long MAX_STATE_BYTES = 64 << 20;
     private static final long EXIT_TIMEOUT_MILLIS = 20_000;
+    /** Printed by the writer once its first write is complete. */
+    private static final String READY_SIGNAL = "writes";
 
-    /** What was found after all kills. `oldest`: of the files taken, the longest time from its picture to the kill. */
+    private static final int READY_SIGNAL_BYTES = 6;
+
+    /**
+     * The result of all kills.
+     *
+     * @param intactFiles number of kills after which a snapshot could be restored
+     * @param partialFiles number of temporary files found, each from a write that was interrupted
+     * @param skippedFiles number of state files that were rejected, as not intact for example
+     * @param maxAge largest age that a restored snapshot had at the kill
+     * @param meanAge mean of that age over all kills
+     * @param failures one line for each kill that did not leave a complete snapshot, or whose writer failed
+     */
     public record Report(
             int kills,
             int intactFiles,
@@ -45,6 +61,7 @@
             long maxAge,
             long meanAge,
             List<String> failures) {
+        /** The result of one kill whose writer failed. */
         private static Report failure(int round, String message) {
             return new Report(1, 0, 0, 0, 0, 0, List.of("round " + round + ": " + message));
         }
@@ -55,6 +72,14 @@
     private final int backends;
     private final int pins;
 
+    /**
+     * Prepares a check.
+     *
+     * @param workingDirectory where each writer gets a directory; those of failed rounds are not deleted
+     * @param interval `durable.interval` of the writers; a writer starts two writes per interval
+     * @param backends number of backends in the state
+     * @param pins number of pins in the state
+     */
     public CrashConsistencyCheck(Path workingDirectory, long interval, int backends, int pins) {
         this.workingDirectory = workingDirectory;
         this.interval = interval;
@@ -62,44 +87,52 @@
         this.pins = pins;
     }
 
-    /** The writer: until it is killed. Arguments: folder, interval in ms, backends, pins. */
+    /**
+     * The writer process: writes state until it is killed.
+     *
+     * @param args state directory, interval in milliseconds, number of backends, number of pins
+     * @throws IOException if the directory cannot be used or a write fails
+     */
     public static void main(String[] args) throws Exception {
         long interval = Long.parseLong(args[1]) * MS;
         int backends = Integer.parseInt(args[2]);
         int pins = Integer.parseInt(args[3]);
         List<LogMessage> logMessages = new ArrayList<>();
         StateStore store = StateStore.open(
-                new PersistenceConfiguration(Path.of(args[0]), interval, MAX_AGE, 64 << 20, 2 * SECOND),
+                new PersistenceConfiguration(
+                        Path.of(args[0]), interval, MAX_AGE, MAX_STATE_BYTES, MAX_FRESH_ROSTER_AGE),
                 "killed",
                 logMessages);
         store.restore(now(), logMessages);
         StateChanges changes = createFullState(backends, pins);
-        for (long round = 0; logMessages.isEmpty(); round++) {
+        for (long writeCount = 0; logMessages.isEmpty(); writeCount++) {
             long writeStart = System.nanoTime();
             LogMessage failure = store.persist(changes, "d:1", now(), now());
             if (failure != null) {
                 throw new IOException(failure.text());
             }
-            if (round == 0) {
-                System.out.println("writes");
+            if (writeCount == 0) {
+                System.out.println(READY_SIGNAL);
             }
             changes = new StateChanges();
             changes.add(new LearnedState(
                     1,
-                    new LearnedState.RelayStatistics(round, 1, 1, 1, 1, 0),
+                    new LearnedState.RelayStatistics(writeCount, 1, 1, 1, 1, 0),
                     List.of(),
-                    List.of(new Pin(round % pins, 1, now())),
+                    List.of(new Pin(writeCount % pins, 1, now())),
                     false));
-            // As the daemon: twice an interval, from the beginning of one write to that of the next.
+            // Like the daemon, starts two writes per interval, counted from start to start.
             Thread.sleep(Math.max(0, (interval / 2 - (System.nanoTime() - writeStart)) / MS));
         }
         throw new IOException(logMessages.get(0).text());
     }
 
+    /** Unix time in nanoseconds. */
     private static long now() {
         return System.currentTimeMillis() * MS;
     }
 
+    /** A complete state: a roster, statistics of each of its backends, and pins spread over them. */
     private static StateChanges createFullState(int backends, int pins) {
         List<RosterMessage.Entry> entries = new ArrayList<>();
         List<BackendStatistics> backendStatistics = new ArrayList<>();
@@ -119,16 +152,22 @@
         return changes;
     }
 
-    /** So many kills, some side by side, each in a folder of its own. */
+    /**
+     * Runs the check.
+     *
+     * @param kills number of writers to start and kill
+     * @param concurrency number of writers that run at the same time, each in its own directory
+     * @param seed determines the moments of the kills
+     */
     public Report run(int kills, int concurrency, long seed) throws IOException, InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(concurrency);
-        List<Future<Report>> rounds = new ArrayList<>();
+        List<Future<Report>> results = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < kills; i++) {
-            int number = i;
-            // Over two writes and the pause between them, so that every part of one is met.
+            int round = i;
+            // One interval covers two writes and the pauses after them, so kills fall into every phase of a write.
             long killDelay = random.nextLong(interval);
-            rounds.add(pool.submit((Callable<Report>) () -> killOneWriter(number, killDelay)));
+            results.add(pool.submit((Callable<Report>) () -> killOneWriter(round, killDelay)));
         }
         pool.shutdown();
         int intactFiles = 0;
@@ -137,9 +176,9 @@
         long maxAge = 0;
         long ageSum = 0;
         List<String> failures = new ArrayList<>();
-        for (Future<Report> round : rounds) {
+        for (Future<Report> result : results) {
             try {
-                Report report = round.get();
+                Report report = result.get();
                 intactFiles += report.intactFiles;
                 partialFiles += report.partialFiles;
                 skippedFiles += report.skippedFiles;
@@ -155,8 +194,9 @@
                 kills, intactFiles, partialFiles, skippedFiles, maxAge, kills == 0 ? 0 : ageSum / kills, failures);
     }
 
-    private Report killOneWriter(int number, long killDelay) throws IOException, InterruptedException {
-        Path stateDirectory = Directories.createEmpty(workingDirectory.resolve("kill-" + number));
+    /** Starts one writer, kills it after the delay, and restores what it left. */
+    private Report killOneWriter(int round, long killDelay) throws IOException, InterruptedException {
+        Path stateDirectory = Directories.createEmpty(workingDirectory.resolve("kill-" + round));
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-XX:+UseSerialGC",
@@ -173,15 +213,16 @@
                 .redirectOutput(ProcessBuilder.Redirect.PIPE)
                 .start();
         try (InputStream output = process.getInputStream()) {
-            byte[] signal = new byte[6];
-            if (output.readNBytes(signal, 0, 6) < 6
-                    || !new String(signal, StandardCharsets.US_ASCII).equals("writes")) {
+            byte[] signal = new byte[READY_SIGNAL_BYTES];
+            if (output.readNBytes(signal, 0, READY_SIGNAL_BYTES) < READY_SIGNAL_BYTES
+                    || !new String(signal, StandardCharsets.US_ASCII).equals(READY_SIGNAL)) {
                 return Report.failure(
-                        number,
-                        "the writer said " + new String(signal, StandardCharsets.US_ASCII)
+                        round,
+                        "the writer failed before its first write was complete and printed: "
+                                + new String(signal, StandardCharsets.US_ASCII)
                                 + new String(output.readAllBytes(), StandardCharsets.UTF_8));
             }
-            // Its first writes are slow, as its code is not yet compiled; some are let pass.
+            // Waits for some writes, because the first ones are slow until the JIT has compiled the code.
             Thread.sleep(2 * interval / MS);
             long killTime = System.nanoTime() + killDelay;
             while (System.nanoTime() < killTime) {
@@ -192,7 +233,7 @@
         }
         long killedAt = now();
         if (!process.waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            return Report.failure(number, "the writer did not die");
+            return Report.failure(round, "the writer process did not exit within 20 s of being killed");
         }
         int partialFiles;
         try (Stream<Path> files = Files.list(stateDirectory)) {
@@ -202,21 +243,21 @@
         List<LogMessage> logMessages = new ArrayList<>();
         StateSnapshot snapshot;
         try (StateStore store = StateStore.open(
-                new PersistenceConfiguration(stateDirectory, interval, MAX_AGE, 64 << 20, 2 * SECOND),
+                new PersistenceConfiguration(stateDirectory, interval, MAX_AGE, MAX_STATE_BYTES, MAX_FRESH_ROSTER_AGE),
                 "killed",
                 logMessages)) {
             snapshot = store.restore(now(), logMessages);
         }
         List<String> failures = new ArrayList<>();
         if (snapshot == null) {
-            failures.add("round " + number + ": no whole file; " + logMessages);
+            failures.add("round " + round + ": no intact state file; " + logMessages);
         } else if (snapshot.roster().entries().size() != backends
                 || snapshot.learnedState().pins().size() != pins) {
-            failures.add("round " + number + ": whole, and yet "
+            failures.add("round " + round + ": the restored state has a wrong size: "
                     + snapshot.roster().entries().size() + " backends and "
                     + snapshot.learnedState().pins().size() + " pins");
         }
-        // What is at fault stays, to be looked at.
+        // After a failure the directory is left for inspection.
         if (failures.isEmpty()) {
             Files.delete(Directories.createEmpty(stateDirectory));
         }
--- a/lab/src/main/java/ambertrestle/lab/loopback/Directories.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/Directories.java
@@ -5,11 +5,16 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** Folders with files in them and nothing deeper. */
+/** Helper for working directories that contain files but no subdirectories. */
 final class Directories {
     private Directories() {}
 
-    /** Makes it where it is not there. */
+    /**
+     * Creates a directory if it does not exist, and otherwise deletes the files in it.
+     *
+     * @return the directory
+     * @throws IOException if it cannot be created or emptied, for example because it has a subdirectory with content
+     */
     static Path createEmpty(Path directory) throws IOException {
         Files.createDirectories(directory);
         try (Stream<Path> files = Files.list(directory)) {
--- a/lab/src/main/java/ambertrestle/lab/loopback/EventLoopScheduler.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/EventLoopScheduler.java
@@ -5,17 +5,28 @@
 import io.vertx.core.Vertx;
 import org.HdrHistogram.Histogram;
 
-/** The wall's time, on one event loop. It also watches whether that loop gets to run: a starved run is no result. */
+/**
+ * Schedules tasks in real time on one event loop. It also measures how late a periodic timer fires, because the results
+ * of a run whose event loop gets too little CPU are unusable.
+ */
 final class EventLoopScheduler implements Scheduler {
+    /** Interval of the timer whose lateness is measured. */
     private static final long TICK_MILLIS = 10;
-    /** Later than this, at the 99th percentile of all ticks or at any one, and the run is called starved. */
-    private static final long MAX_P99_LATENESS = 25_000_000L, MAX_LATENESS = 400_000_000L;
+    /** A run counts as starved of CPU if the 99th percentile of all lateness values is above this, in nanoseconds. */
+    private static final long MAX_P99_LATENESS = 25_000_000L;
+    /** A run counts as starved of CPU if any tick is later than this, in nanoseconds. */
+    private static final long MAX_LATENESS = 400_000_000L;
+    /** Upper limit of the histogram, in nanoseconds; higher values are recorded as this. */
+    private static final long MAX_RECORDED_LATENESS = 60_000_000_000L;
 
     private final Vertx vertx;
     private final Context loop;
-    private final Histogram lateness = new Histogram(60_000_000_000L, 2);
+    private final Histogram lateness = new Histogram(MAX_RECORDED_LATENESS, 2);
+    /** Start of the run by `System.nanoTime`. */
     private long startNanoTime = System.nanoTime();
+    /** Start of the run as Unix time, in nanoseconds. */
     private long startUnixTime = System.currentTimeMillis() * 1_000_000;
+    /** When the next tick is due, in nanoseconds from the run's start. */
     private long nextTickAt;
 
     EventLoopScheduler(Vertx vertx, Context loop) {
@@ -23,13 +34,13 @@
         this.loop = loop;
     }
 
-    /** The run's time begins now. */
+    /** Sets the run's time to 0 and starts measuring lateness. */
     void start() {
         startNanoTime = System.nanoTime();
         startUnixTime = System.currentTimeMillis() * 1_000_000;
         nextTickAt = now() + TICK_MILLIS * 1_000_000;
         vertx.setPeriodic(TICK_MILLIS, timerId -> {
-            lateness.recordValue(Math.min(60_000_000_000L, Math.max(0, now() - nextTickAt)));
+            lateness.recordValue(Math.min(MAX_RECORDED_LATENESS, Math.max(0, now() - nextTickAt)));
             nextTickAt = Math.max(now(), nextTickAt) + TICK_MILLIS * 1_000_000;
         });
     }
@@ -49,16 +60,17 @@
         }
     }
 
-    /** Unix time of a time of the run. */
+    /** Converts a time of the run to Unix time, both in nanoseconds. */
     long toUnixTime(long time) {
         return startUnixTime + time;
     }
 
+    /** Whether the event loop was so late that the run's figures are unusable. */
     boolean isCpuStarved() {
         return lateness.getValueAtPercentile(99) > MAX_P99_LATENESS || lateness.getMaxValue() > MAX_LATENESS;
     }
 
-    /** 99th percentile and most, in milliseconds. */
+    /** The 99th percentile and the maximum of the lateness in milliseconds, as text for the report. */
     String describeLateness() {
         return String.format(
                 java.util.Locale.ROOT,
--- a/lab/src/main/java/ambertrestle/lab/loopback/LoopbackTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/LoopbackTestbed.java
@@ -26,14 +26,15 @@
 import java.util.function.IntPredicate;
 
 /**
- * The same scenario on loopback: relays are processes as shipped; clients, backends and the roster service are
- * stand-ins here.
+ * Runs a scenario in real time on loopback sockets. The relays are processes of the packaged daemon; clients, backends
+ * and the roster service run in this process, on one event loop.
  */
 public final class LoopbackTestbed extends Testbed {
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
-    /** The rules' limits are this much longer on sockets. */
+    private static final long MS = 1_000_000L;
+    private static final long SECOND = 1_000 * MS;
+    /** Added to the time limits of the invariant checker, because relay and checker see events at different times. */
     private static final long TIMING_TOLERANCE = 50 * MS;
-
+    /** Time for starting the relays. A run fails if it takes longer than its scenario plus twice this time. */
     private static final long START_TIMEOUT_SECONDS = 30;
 
     final Vertx vertx;
@@ -44,10 +45,15 @@
     private final Path jar;
     private final Path workingDirectory;
     private final List<RelayProcess> relays = new ArrayList<>();
+    /** By backend name. */
     private final Map<String, BackendServer> backendServers = new HashMap<>();
+    /** Completed with true at the end of the scenario, with false if the run was stopped before. */
     private final CompletableFuture<Boolean> completion = new CompletableFuture<>();
+    /** One line for each relay process that ended, or was given up, before it answered PING. */
     private final List<String> failedStarts = new ArrayList<>();
+
     private Map<String, Long> finalConnectionTotals = Map.of();
+    /** Largest resident memory of any relay so far, sampled once per second. */
     private long maxResidentKilobytes;
 
     private LoopbackTestbed(
@@ -69,11 +75,17 @@
                 vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(2_000));
     }
 
-    /** `jar`: the daemon's; `dir`: where configurations and logs of the relays go. */
+    /**
+     * Prepares a run; {@link #run} starts the relays.
+     *
+     * @param jar the relay daemon's jar
+     * @param workingDirectory where the relays' configurations, logs and state are written
+     * @throws IOException if the jar does not exist
+     */
     public static LoopbackTestbed create(Scenario scenario, long seed, Path jar, Path workingDirectory)
             throws IOException {
         if (!Files.isRegularFile(jar)) {
-            throw new IOException(jar + " is not there: build the relay first, or name its jar by --jar");
+            throw new IOException(jar + " does not exist: build the relay first, or name its jar with --jar");
         }
         Files.createDirectories(workingDirectory);
         Vertx vertx = Vertx.vertx(
@@ -89,7 +101,14 @@
                 new EventLoopScheduler(vertx, loop));
     }
 
-    /** Plays all in real time. False when told to stop before the end. */
+    /**
+     * Runs the scenario and waits for its end; then ends all relay processes.
+     *
+     * @param continueAfterSecond called after each second with the number of seconds since the run's start; the run
+     *     stops if it returns false
+     * @return false if the run was stopped before its end
+     * @throws IOException if a server or relay cannot be started, or the run takes far longer than its scenario
+     */
     public boolean run(IntPredicate continueAfterSecond) throws IOException, InterruptedException {
         try {
             for (int i = 0; i < scenario.relays().count(); i++) {
@@ -100,7 +119,9 @@
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the run on sockets failed: " + e, e);
         } finally {
-            // On the loop: what ends now is this run's doing and no relay's.
+            // The relays are killed on the event loop, which marks them as killed before it handles the closing of
+            // their
+            // connections. Otherwise those connections would count as broken by the relays.
             CompletableFuture<Void> killed = new CompletableFuture<>();
             loop.runOnContext(v -> {
                 relays.forEach(RelayProcess::kill);
@@ -114,6 +135,7 @@
         }
     }
 
+    /** Starts the servers, then the relays; the run's time begins when the last relay is ready. */
     private void startServersAndRelays(IntPredicate continueAfterSecond) {
         List<Future<?>> pendingListens = new ArrayList<>();
         for (SimulatedBackend backend : backends()) {
@@ -143,12 +165,14 @@
 
     @Override
     protected void setPartitioned(RelayInstance relay, SimulatedBackend backend, boolean partitioned) {
-        // Danger: one that dies while it is cut off has no listening socket left to cut.
+        // A backend that died during the partition has no listening socket. Without this check the partition's end
+        // would act on its closed channel.
         if (backend.isListening()) {
             backendServers.get(backend.name).setPartitioned(relay.number, partitioned);
         }
     }
 
+    /** Samples the gauges at the given second, or at the run's end if that is earlier, and then each second. */
     private void scheduleSample(int second, IntPredicate continueAfterSecond) {
         scheduler.scheduleAt(Math.min(scenario.endTime(), second * SECOND), () -> {
             sampleGauges();
@@ -168,7 +192,7 @@
         });
     }
 
-    /** As it stood at the end of the run, before its relays were ended. */
+    /** The totals at the end of the run, before its relays were killed; empty until then. */
     @Override
     public Map<String, Long> connectionTotals() {
         return finalConnectionTotals;
@@ -194,21 +218,26 @@
         return ((RelayProcess) relay).drainNotifiedAt(backend.name);
     }
 
+    /** The host:port under which the given relay reaches a backend. */
     String address(String backend, int relayNumber) {
         return backendServers.get(backend).address(relayNumber);
     }
 
-    /** A relay's process is gone though nobody ended it, or does not answer. */
+    /**
+     * Records that a relay never answered PING.
+     *
+     * @param alive false if its process ended by itself, true if it was killed or replaced while it was starting
+     */
     void onRelayStartFailed(RelayProcess relay, boolean alive) {
         failedStarts.add(relay.name + (alive ? " was given up" : " ended by itself"));
     }
 
-    /** Whether this process got too little CPU for its figures to mean anything. */
+    /** Whether this process got too little CPU for the run's figures to be meaningful. */
     public boolean isCpuStarved() {
         return eventLoopClock.isCpuStarved();
     }
 
-    /** What a run on sockets costs: not for comparing between machines. */
+    /** What the run consumed, as lines for the report. The figures of different machines cannot be compared. */
     public List<String> resourceUsage() {
         List<String> lines = new ArrayList<>();
         lines.add("the lab's own lateness: " + eventLoopClock.describeLateness());
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayOverheadBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayOverheadBenchmark.java
@@ -27,26 +27,50 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a relay costs: openings and lines through one relay as shipped, and straight to the same stand-in backend, in
- * turn, in one run. The client is one blocking thread, so each figure is of a relay with nothing else to do.
+ * Measures the overhead of a relay: the latency of openings and lines through one relay process, and directly to the
+ * same test backend, alternating in one run. The client is a single blocking thread, so the figures are those of a
+ * relay without other load.
  */
 public final class RelayOverheadBenchmark implements AutoCloseable {
     private static final String HOST = RelayLauncher.HOST;
     private static final int READ_TIMEOUT_MILLIS = 10_000;
+    private static final long LISTEN_TIMEOUT_SECONDS = 10;
+    /** Interval of the empty lines on a roster watch. */
+    private static final long KEEP_ALIVE_INTERVAL_MILLIS = 1_000;
+    /** With the delay between attempts, the relay has 10 s to answer its first PING. */
+    private static final int PING_ATTEMPTS = 400;
+
+    private static final long PING_RETRY_DELAY_MILLIS = 25;
+    private static final long MAX_RECORDED_LATENCY_NANOS = 60_000_000_000L;
+    /** Index of the connections that go directly to the backend. */
+    private static final int DIRECT = 0;
+    /** Index of the connections that go through the relay. */
+    private static final int VIA_RELAY = 1;
 
     private final Vertx vertx = Vertx.vertx(
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     private final int backendPort;
     private final int relayPort;
     private final Process relayProcess;
+    /** Id of the last association; each connection gets the next one. */
     private long lastId;
+    /** Time from the start of the connect to the UP line, in nanoseconds, by {@link #DIRECT} and {@link #VIA_RELAY}. */
     private final Histogram[] openingLatencies = {newHistogram(), newHistogram()};
+    /** Time from sending a line to its answer, in nanoseconds, by {@link #DIRECT} and {@link #VIA_RELAY}. */
     private final Histogram[] lineLatencies = {newHistogram(), newHistogram()};
 
     private static Histogram newHistogram() {
-        return new Histogram(60_000_000_000L, 3);
+        return new Histogram(MAX_RECORDED_LATENCY_NANOS, 3);
     }
 
+    /**
+     * Starts a backend, a roster service that lists it, and a relay, and waits until the relay answers.
+     *
+     * @param scenario supplies the relay's settings; its first fleet describes the backend
+     * @param jar the relay daemon's jar
+     * @param workingDirectory where the relay's configuration (cost.json) and log (cost.log) are written
+     * @throws IOException if a server cannot listen or the relay does not answer within 10 s
+     */
     public RelayOverheadBenchmark(Scenario scenario, Path jar, Path workingDirectory)
             throws IOException, InterruptedException {
         try {
@@ -58,7 +82,7 @@
                     .listen(0, HOST)
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(10, TimeUnit.SECONDS)
+                    .get(LISTEN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .actualPort();
             JsonObject roster = new JsonObject()
                     .put("index", 1)
@@ -76,13 +100,13 @@
                     .requestHandler(request -> {
                         HttpServerResponse response = request.response().setChunked(true);
                         response.write(roster.encode() + "\n");
-                        long keepAliveTimer = vertx.setPeriodic(1_000, t -> response.write("\n"));
+                        long keepAliveTimer = vertx.setPeriodic(KEEP_ALIVE_INTERVAL_MILLIS, t -> response.write("\n"));
                         response.closeHandler(v -> vertx.cancelTimer(keepAliveTimer));
                     })
                     .listen(0, HOST)
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(10, TimeUnit.SECONDS)
+                    .get(LISTEN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .actualPort();
             relayPort = RelayLauncher.findFreePort();
             Files.createDirectories(workingDirectory);
@@ -95,19 +119,19 @@
             relayProcess = RelayLauncher.start(jar, configurationFile, workingDirectory.resolve("cost.log"));
             awaitPong();
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("the stand-ins could not listen: " + e, e);
+            throw new IOException("the test backend or the roster service could not listen: " + e, e);
         }
     }
 
     private void awaitPong() throws IOException, InterruptedException {
-        for (int attempt = 0; attempt < 400; attempt++) {
+        for (int attempt = 0; attempt < PING_ATTEMPTS; attempt++) {
             try (Socket socket = connect(relayPort)) {
                 socket.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
                 if (readLine(new BufferedInputStream(socket.getInputStream())).equals("PONG")) {
                     return;
                 }
             } catch (IOException e) {
-                Thread.sleep(25);
+                Thread.sleep(PING_RETRY_DELAY_MILLIS);
             }
         }
         throw new IOException("the relay did not answer PING within 10 s; see cost.log");
@@ -120,20 +144,22 @@
         return socket;
     }
 
+    /** Reads up to the next line feed; the result has no line end. */
     private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("the connection was closed before the end of a line");
             }
             line.append((char) next);
         }
         return line.toString().strip();
     }
 
+    /** Opens one connection, sends the given number of lines one after the other, and closes it. */
     private void measureConnection(int path, int lineCount, boolean recorded) throws IOException {
         long startNanos = System.nanoTime();
-        try (Socket socket = connect(path == 1 ? relayPort : backendPort)) {
+        try (Socket socket = connect(path == VIA_RELAY ? relayPort : backendPort)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             socket.getOutputStream()
                     .write(("OPEN " + Long.toHexString(++lastId) + " " + Long.toHexString(lastId * 77)
@@ -141,7 +167,7 @@
                             .getBytes(StandardCharsets.US_ASCII));
             String answer = readLine(in);
             if (!answer.startsWith("UP")) {
-                throw new IOException("an opening was answered " + answer);
+                throw new IOException("OPEN was not answered with UP, but with: " + answer);
             }
             if (recorded) {
                 openingLatencies[path].recordValue(System.nanoTime() - startNanos);
@@ -157,6 +183,7 @@
         }
     }
 
+    /** CPU time of the relay process so far; 0 if the platform does not report it. */
     private long relayCpuNanos() {
         return relayProcess
                 .info()
@@ -165,27 +192,35 @@
                 .orElse(0L);
     }
 
-    /** `opens` of each kind, in turn, with `each` lines; the first fifth is warm-up. A table, one row a line. */
+    /**
+     * Runs the benchmark. Before the measured connections it opens a quarter as many for warm-up. Then it measures the
+     * relay's CPU time in two separate passes.
+     *
+     * @param connections number of measured connections, each directly and through the relay; at least 1
+     * @param linesPerConnection number of lines sent on each of them
+     * @return the result as a table, one element per row
+     */
     public List<String> measure(int connections, int linesPerConnection) throws IOException {
         for (int i = 0; i < connections + connections / 4; i++) {
-            measureConnection(0, linesPerConnection, i >= connections / 4);
-            measureConnection(1, linesPerConnection, i >= connections / 4);
+            measureConnection(DIRECT, linesPerConnection, i >= connections / 4);
+            measureConnection(VIA_RELAY, linesPerConnection, i >= connections / 4);
         }
         long cpuNanosBefore = relayCpuNanos();
         for (int i = 0; i < connections; i++) {
-            measureConnection(1, 0, false);
+            measureConnection(VIA_RELAY, 0, false);
         }
         double cpuMicrosPerOpening = (relayCpuNanos() - cpuNanosBefore) / 1e3 / connections;
         cpuNanosBefore = relayCpuNanos();
-        measureConnection(1, connections, false);
+        measureConnection(VIA_RELAY, connections, false);
+        // All lines were sent on one connection, so the CPU time contains that of one opening.
         double cpuMicrosPerLine =
                 (relayCpuNanos() - cpuNanosBefore) / 1e3 / connections - cpuMicrosPerOpening / connections;
         List<String> table = new ArrayList<>();
         table.add(String.format(Locale.ROOT, "%-28s %10s %10s %10s", "microseconds", "p50", "p99", "p99.9"));
-        appendRow(table, "opening, straight", openingLatencies[0]);
-        appendRow(table, "opening, through the relay", openingLatencies[1]);
-        appendRow(table, "line, straight", lineLatencies[0]);
-        appendRow(table, "line, through the relay", lineLatencies[1]);
+        appendRow(table, "opening, straight", openingLatencies[DIRECT]);
+        appendRow(table, "opening, through the relay", openingLatencies[VIA_RELAY]);
+        appendRow(table, "line, straight", lineLatencies[DIRECT]);
+        appendRow(table, "line, through the relay", lineLatencies[VIA_RELAY]);
         table.add(String.format(
                 Locale.ROOT,
                 "the relay's CPU: %.0f us an opening and its end, %.0f us a line and its answer",
@@ -194,6 +229,7 @@
         return table;
     }
 
+    /** Appends a row with percentiles in microseconds. */
     private static void appendRow(List<String> table, String name, Histogram histogram) {
         table.add(String.format(
                 Locale.ROOT,
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -15,10 +15,19 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Owns one relay as it is shipped: a process, its configuration file, its log, and the clients' sockets to it. */
+/**
+ * A relay that runs as a process of the packaged daemon. It owns the process, its configuration file and log, the
+ * sockets of its clients, and the roster server that the relay uses. All methods run on the testbed's event loop,
+ * except the constructor, {@link #awaitExit} and {@link #totalCpuNanos}.
+ */
 final class RelayProcess extends RelayInstance {
     private static final String HOST = RelayLauncher.HOST;
     private static final long MS = 1_000_000L;
+    private static final long PING_RETRY_DELAY_MILLIS = 25;
+    /** A relay that was asked to stop and still runs after this time is killed; nanoseconds. */
+    private static final long STOP_TIMEOUT = 4_000 * MS;
+
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
 
     private final LoopbackTestbed testbed;
     private final Path jar;
@@ -26,9 +35,13 @@
     private final int port;
     final RosterServer rosterServer;
     private final Map<ClientEndpoint, NetSocket> clientSockets = new HashMap<>();
+    /** The roster as it was last sent to this relay. */
     private final DeliveredRoster receivedRoster = new DeliveredRoster();
+    /** Null before the first start. */
     private Process process;
+    /** Incremented at each start and kill, so that callbacks for an earlier process can be recognised. */
     private int incarnation;
+    /** CPU time of the processes that were terminated. */
     private long endedProcessesCpuNanos;
 
     RelayProcess(LoopbackTestbed testbed, int number, Path jar, Path workingDirectory) throws IOException {
@@ -44,6 +57,7 @@
                 message -> receivedRoster.apply(message, testbed.now()));
     }
 
+    /** When this relay was told that a backend drains or is gone, in nanoseconds of the run; -1 if it was not told. */
     long drainNotifiedAt(String backend) {
         return receivedRoster.drainNotifiedAt(backend);
     }
@@ -80,10 +94,10 @@
         awaitPong(incarnation, onReady);
     }
 
-    /** Its operator file, and the folder that outlives its processes. */
+    /** Writes the operator file, which names a state directory that outlives the relay's processes. */
     private Path writeOperatorFile() throws IOException {
         Path stateDirectory = workingDirectory.resolve(name + ".kept");
-        // Danger: what an earlier run kept would be this run's past.
+        // Without this, the first process of a run would restore the state that an earlier run left here.
         if (incarnation == 1) {
             Directories.createEmpty(stateDirectory);
         }
@@ -93,7 +107,7 @@
                         + testbed.scenario.relays().persistInterval() / MS + "ms\"\n");
     }
 
-    /** As the front does: it is taken in once it answers PING. */
+    /** Sends PING until the relay answers PONG, as the load balancer in front does before it sends clients. */
     private void awaitPong(int expectedIncarnation, Runnable onReady) {
         if (incarnation != expectedIncarnation || !process.isAlive()) {
             testbed.onRelayStartFailed(this, process.isAlive());
@@ -114,12 +128,14 @@
                             .exceptionHandler(error -> {})
                             .closeHandler(v -> {
                                 if (incarnation == expectedIncarnation && !running) {
-                                    testbed.vertx.setTimer(25, t -> awaitPong(expectedIncarnation, onReady));
+                                    testbed.vertx.setTimer(
+                                            PING_RETRY_DELAY_MILLIS, t -> awaitPong(expectedIncarnation, onReady));
                                 }
                             });
                     socket.write("PING\r\n");
                 })
-                .onFailure(error -> testbed.vertx.setTimer(25, t -> awaitPong(expectedIncarnation, onReady)));
+                .onFailure(error ->
+                        testbed.vertx.setTimer(PING_RETRY_DELAY_MILLIS, t -> awaitPong(expectedIncarnation, onReady)));
     }
 
     @Override
@@ -129,7 +145,7 @@
         terminateProcess(true);
     }
 
-    /** Only the process that was started here. */
+    /** Ends the current process, with SIGKILL if `forcibly`, otherwise with SIGTERM. */
     private void terminateProcess(boolean forcibly) {
         if (process != null && process.isAlive()) {
             endedProcessesCpuNanos += currentProcessCpuNanos();
@@ -145,20 +161,21 @@
     protected void requestStop() {
         int stoppedIncarnation = incarnation;
         terminateProcess(false);
-        testbed.scheduler.scheduleAfter(4_000 * MS, () -> {
+        testbed.scheduler.scheduleAfter(STOP_TIMEOUT, () -> {
             if (incarnation == stoppedIncarnation) {
                 kill();
             }
         });
     }
 
-    /** After {@link #kill}: returns once the process is gone. */
+    /** Waits up to 5 s for the process to exit after {@link #kill}. */
     void awaitExit() throws InterruptedException {
         if (process != null) {
-            process.waitFor(5, TimeUnit.SECONDS);
+            process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
+    /** CPU time of the current process; 0 if there is none or the platform does not report it. */
     private long currentProcessCpuNanos() {
         return process == null
                 ? 0
@@ -168,12 +185,12 @@
                         .orElse(0L);
     }
 
-    /** CPU of all its processes, in nanoseconds. */
+    /** CPU time of all processes of this relay, in nanoseconds. */
     long totalCpuNanos() {
         return endedProcessesCpuNanos + (process != null && process.isAlive() ? currentProcessCpuNanos() : 0);
     }
 
-    /** Resident memory now, in kilobytes; -1 where this machine does not tell. */
+    /** Resident memory of the process in kilobytes; -1 if there is no `/proc` entry for it. */
     long residentKilobytes() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
@@ -186,7 +203,7 @@
         }
     }
 
-    // ---- clients
+    // Connections of clients
 
     @Override
     protected void connect(ClientEndpoint client) {
@@ -206,9 +223,9 @@
                                 if (clientSockets.remove(client) == null) {
                                     return;
                                 }
-                                // Danger: for some milliseconds after SIGKILL the dying process's port still takes
-                                // connections, and
-                                // then resets them.
+                                // For some milliseconds after SIGKILL the port of the killed process still accepts
+                                // connections, which are then reset. Without this check such a reset would count as
+                                // an answer that the relay owed.
                                 if (incarnation != connectedIncarnation || !running) {
                                     client.onRelayKilled();
                                 } else {
--- a/lab/src/main/java/ambertrestle/lab/loopback/RosterServer.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RosterServer.java
@@ -13,18 +13,24 @@
 import io.vertx.core.json.JsonObject;
 import java.util.function.UnaryOperator;
 
-/** The roster service as one relay meets it: the whole list, or a watch of one JSON object a line, over HTTP. */
+/**
+ * The HTTP interface of the simulated roster service for one relay: either the complete roster as one answer, or a
+ * watch that streams one JSON object per line.
+ */
 final class RosterServer {
+    /** Interval of the empty lines on a watch, which show that the roster has not changed. */
     private static final long KEEP_ALIVE_INTERVAL_MILLIS = 2_000;
 
     private final Vertx vertx;
     private final SimulatedRosterService roster;
-    /** A backend's address as this relay has it, by the backend's name. */
+    /** Maps a backend's name to the address under which this relay reaches it. */
     private final UnaryOperator<String> addressResolver;
-    /** When it is told what, for the judge of drains. */
+    /** Gets each message when it is sent to the relay; the invariant checker derives from it when drains are known. */
     private final java.util.function.Consumer<RosterMessage> notificationListener;
 
+    /** 0 until the server listens for the first time; the same port is used when it listens again. */
     private int port;
+    /** Null while the service refuses connections. */
     private HttpServer server;
 
     RosterServer(
@@ -48,7 +54,10 @@
                 });
     }
 
-    /** It fails from now on, in that way; null: it serves again. */
+    /**
+     * Stops listening for the mode REFUSES, and listens again when the service recovers (null). The other modes are
+     * applied to each request as it comes.
+     */
     void setFailureMode(RosterFailureMode failureMode) {
         if (failureMode == RosterFailureMode.REFUSES) {
             server.close();
@@ -58,10 +67,12 @@
         }
     }
 
+    /** The server's host:port. */
     String address() {
         return RelayLauncher.HOST + ":" + port;
     }
 
+    /** A roster message in the JSON form of the roster service. */
     JsonObject encode(RosterMessage message) {
         JsonArray endpoints = new JsonArray();
         for (RosterMessage.Entry entry : message.entries()) {
@@ -90,6 +101,7 @@
             return;
         } else if (roster.failureMode() == RosterFailureMode.HALF_A_LINE) {
             String encodedRoster = encode(roster.fullRoster()).encode();
+            // The answer stops in the middle of a line and is never finished.
             request.response().setChunked(true).write(encodedRoster.substring(0, encodedRoster.length() / 2));
         } else if (roster.failureMode() != null) {
             request.response().setStatusCode(503).end();
--- a/lab/src/main/java/ambertrestle/lab/report/RunResult.java
+++ b/lab/src/main/java/ambertrestle/lab/report/RunResult.java
@@ -19,7 +19,8 @@
  *
  * @param isComplete whether the run reached its end; false if it was interrupted
  * @param metrics the run's entry in summary.json
- * @param eventLog begin and end of each trouble, with its time in seconds from the end of the warm-up
+ * @param eventLog begin and end of troubles and restarts of relays, one per line; each line starts with the time in
+ *     seconds from the end of the warm-up
  * @param recorder the counts per second, for the plots
  */
 public record RunResult(
--- a/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
+++ b/lab/src/test/java/ambertrestle/lab/LoopbackTestbedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The shipped scenario on sockets, against the daemon's jar as the build has just made it. */
+/** Runs shipped scenarios on sockets, with relay processes from the jar that the build has just made. */
 class LoopbackTestbedTest {
     private static final Path JAR = Path.of("..", "relay", "target", "ambertrestle.jar");
 
@@ -42,7 +42,10 @@
         }
     }
 
-    /** Counts, not times, so that a busy machine gives the same verdict. */
+    /**
+     * Guards against relays that break an invariant on real sockets though they keep it in the simulation. It checks
+     * counts and not times, so that the result does not depend on the load of the machine.
+     */
     @Test
     void invariantsHoldDuringDrainBackendCrashAndRelayCrash() throws Exception {
         LoopbackTestbed testbed = runScenario("short-sockets.toml");
@@ -50,13 +53,16 @@
         assertThat(testbed.metrics.sum(Series.ESTABLISHED)).isGreaterThan(100);
         assertThat(testbed.metrics.sum(Series.DONE)).isPositive();
         assertThat(testbed.metrics.sum(Series.BROKEN))
-                .as("the dead backend's and the dead relay's")
+                .as("connections broken by the backend's and the relay's death")
                 .isPositive();
         assertThat(testbed.metrics.sum(Series.RECONNECTS)).isPositive();
         assertThat(testbed.eventLog()).anyMatch(event -> event.contains("relay-kill of 1 relays begins"));
     }
 
-    /** Killed with the roster service away and no list in their configuration, relays serve on what they kept. */
+    /**
+     * Guards against relays that cannot serve after a crash while the roster service is down. All relays are killed and
+     * restarted without a roster in their configuration, so they depend on the persisted one.
+     */
     @Test
     void restartedRelaysServeFromPersistedRosterWhileRosterServiceIsDown() throws Exception {
         LoopbackTestbed testbed = runScenario("short-away.toml");
@@ -86,7 +92,10 @@
         return -1;
     }
 
-    /** While cut off, dials never come up: the relay must call them not connected and go on elsewhere. */
+    /**
+     * Guards against relays that wait for a connect that never completes. During a partition connects get no answer;
+     * the relay has to treat them as not connected and select another backend.
+     */
     @Test
     void invariantsHoldDuringPartitionAndBackendHang() throws Exception {
         LoopbackTestbed testbed = runScenario("short-partition.toml");
--- a/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ScenarioTest.java
@@ -15,10 +15,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** Reading of scenario files: faults are reported with file, line and key, and the shipped files cover all troubles. */
 class ScenarioTest {
     @TempDir
     private Path dir;
 
+    /** Guards against a kind of trouble, or troubles that overlap, that no shipped scenario exercises. */
     @Test
     void shippedScenariosCoverEveryTroubleKindAndThreeOverlapTroubles() throws Exception {
         Set<TroubleKind> kinds = EnumSet.noneOf(TroubleKind.class);
@@ -37,6 +39,7 @@
         assertThat(overlappingScenarios).isGreaterThanOrEqualTo(3);
     }
 
+    /** Guards against reports that stop at the first fault or do not say where a fault is. */
     @Test
     void errorsNameFileLineAndKey() {
         assertThatThrownBy(
@@ -59,6 +62,7 @@
                 .hasMessageContaining("small.toml:29: trouble[2].backend is not known; the nearest known is backends");
     }
 
+    /** Guards against wrong values that are silently replaced by defaults. */
     @Test
     void persistenceAndRosterFailureSettingsAreValidated() {
         assertThatThrownBy(
@@ -81,6 +85,7 @@
                 .hasMessageContaining("count-from is malformed: expected a time before the run's length");
     }
 
+    /** Guards against a run with the values of a faulty scenario, whose reports would be misleading. */
     @Test
     void invalidScenarioRunsNothingAndExitsWithOne() throws Exception {
         Path file = dir.resolve("faulty.toml");
@@ -94,6 +99,7 @@
         assertThat(dir.resolve("out")).doesNotExist();
     }
 
+    /** Guards against wrong options that are reported only after a run has started, or not as wrong usage. */
     @Test
     void unknownPoliciesAndMalformedSeedsAreUsageErrors() throws Exception {
         Path file = dir.resolve("small.toml");
--- a/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
@@ -12,11 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every shipped scenario of a small fleet, in the model: what the module must keep in each trouble, and what it must
- * bring.
+ * Runs every shipped scenario with a small fleet in the simulation. The module must violate no invariant and reach a
+ * minimum share of the offered benefit.
  */
 class ShippedScenariosTest {
-    /** A share far under what docs/distance.md tells is a defect; what is a little under it is for compare to say. */
+    /**
+     * Minimum benefit share by scenario, well below the shares in docs/distance.md. The bounds only catch gross
+     * defects; smaller changes are found with the command `compare`.
+     */
     private static final Map<String, Double> MIN_BENEFIT_SHARES = Map.of(
             "retry-storm",
             0.45,
@@ -39,6 +42,10 @@
             "kept-rolling",
             0.85);
 
+    /**
+     * Guards against changes that break an invariant or lose much benefit in one of the troubles. It also fails if an
+     * invalid request got no answer, or if a connection's answer or end is missing in the totals.
+     */
     @Test
     void invariantsHoldAndBenefitShareIsReachedInEveryShippedScenario() throws Exception {
         List<Path> scenarioFiles = TestScenarios.shippedScenarios().stream()
