--- a/lab/src/main/java/ambertrestle/lab/Lab.java
+++ b/lab/src/main/java/ambertrestle/lab/Lab.java
@@ -289,7 +289,7 @@
                                 world.eventLog(),
                                 world.connectionTotals(),
                                 world.badClientCount(),
-                                world.unansweredBadClients())
+                                world.unansweredBadClientCount())
                         .addResourceUsage(world.resourceUsage(), world.isCpuStarved()));
             }
             return results;
@@ -320,7 +320,7 @@
                     world.eventLog(),
                     world.connectionTotals(),
                     world.badClientCount(),
-                    world.unansweredBadClients());
+                    world.unansweredBadClientCount());
         }
 
         private void printProgress(Scenario scenario, int runs) {
@@ -590,7 +590,7 @@
         }
 
         private static double valueAt(LoopbackTestbed world, MetricsRecorder.Series s, int second) {
-            return world.metrics.series(s)[second];
+            return world.metrics.valuesPerSecond(s)[second];
         }
     }
 
--- a/lab/src/main/java/ambertrestle/lab/benchmark/DecisionBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/benchmark/DecisionBenchmark.java
@@ -72,7 +72,7 @@
                         "127.0.0.1:2",
                         1,
                         new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
-        balancer = new Balancer(configuration.values().settings(), 1, now);
+        balancer = new Balancer(configuration.reducerConfiguration().settings(), 1, now);
         List<RosterEntry> listed = new ArrayList<>();
         List<RosterMessage.Entry> lines = new ArrayList<>();
         for (int i = 1; i <= backends; i++) {
@@ -80,7 +80,7 @@
             lines.add(new RosterMessage.Entry("s-" + i, "s-" + i + ":1", Stage.READY, "a", "s", 0, 1, 0));
         }
         balancer.onRosterUpdate(listed, true, false, now);
-        reducer = new Reducer(configuration.values(), new RosterMessage(1, true, lines), now);
+        reducer = new Reducer(configuration.reducerConfiguration(), new RosterMessage(1, true, lines), now);
         reducer.apply(new Event.TimerFired(), now);
     }
 
--- a/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
+++ b/lab/src/main/java/ambertrestle/lab/benchmark/LearnedStateBenchmark.java
@@ -63,7 +63,7 @@
                         "127.0.0.1:2",
                         1,
                         new JsonObject().put("index", 0).put("snapshot", true).put("endpoints", new JsonArray())));
-        balancer = new Balancer(sheet.values().settings(), 1, NOW);
+        balancer = new Balancer(sheet.reducerConfiguration().settings(), 1, NOW);
         List<RosterEntry> listed = new ArrayList<>();
         List<BackendStatistics> judged = new ArrayList<>();
         List<RosterMessage.Entry> lines = new ArrayList<>();
@@ -87,7 +87,7 @@
                 pins,
                 false);
         // A new one: its first call lists all, which a relay pays once, at its start and empty.
-        balancer = new Balancer(sheet.values().settings(), 1, NOW);
+        balancer = new Balancer(sheet.reducerConfiguration().settings(), 1, NOW);
         balancer.onRosterUpdate(listed, true, false, NOW);
         balancer.restoreLearnedState(learnedState, false, NOW);
         balancer.takeLearnedStateChanges(1, NOW);
--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -245,7 +245,7 @@
     }
 
     @Override
-    protected void end(ClientEndpoint client) {
+    protected void disconnect(ClientEndpoint client) {
         NetSocket socket = clientSockets.remove(client);
         if (socket != null) {
             socket.close();
--- a/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
+++ b/lab/src/main/java/ambertrestle/lab/report/HtmlReport.java
@@ -157,7 +157,7 @@
                 .setChartBackgroundColor(Color.WHITE)
                 .setAnnotationLineColor(new Color(190, 40, 40));
         for (Series series : plot.series) {
-            double[] values = result.recorder().series(series);
+            double[] values = result.recorder().valuesPerSecond(series);
             double[] seconds = new double[values.length];
             for (int i = 0; i < seconds.length; i++) {
                 // A value covers one second and is drawn in its middle.
--- a/lab/src/main/java/ambertrestle/lab/report/RunResult.java
+++ b/lab/src/main/java/ambertrestle/lab/report/RunResult.java
@@ -82,7 +82,7 @@
                 .put("reconnects", Math.round(recorder.sum(Series.RECONNECTS)))
                 .put(
                         "most reconnects in a second",
-                        Math.round(Arrays.stream(recorder.series(Series.RECONNECTS))
+                        Math.round(Arrays.stream(recorder.valuesPerSecond(Series.RECONNECTS))
                                 .max()
                                 .orElse(0)))
                 .put("dispatches", Math.round(recorder.sum(Series.DISPATCHES)))
--- a/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
@@ -338,8 +338,8 @@
     /** Validates a parsed document. Unknown keys are faults; all faults are reported at once. */
     public static Scenario read(TomlDocument document) throws InvalidScenarioException {
         TomlDocument.Table root = document.rootTable();
-        String name = root.readText("name", null);
-        String description = root.readText("says", "");
+        String name = root.readString("name", null);
+        String description = root.readString("says", "");
         long warmUp = root.readDurationNanos("warm-up", "10s");
         long duration = root.readDurationNanos("length", "60s");
         long measurementStart = root.readDurationNanos("count-from", "0s");
@@ -426,11 +426,11 @@
         Set<String> names = new HashSet<>();
         for (TomlDocument.Table fleetTable : root.readTables("fleet")) {
             Fleet fleet = new Fleet(
-                    fleetTable.readText("name", "s"),
+                    fleetTable.readString("name", "s"),
                     (int) fleetTable.readLong("count", null, 1, 100_000),
                     fleetTable.readDouble("weight", 1.0, 0.01, 100),
                     fleetTable.readDouble("speed", 1.0, 0.001, 1000),
-                    fleetTable.readText("zone", "a"),
+                    fleetTable.readString("zone", "a"),
                     (int) fleetTable.readLong("slots", 1_000_000L, 1, 1 << 24),
                     fleetTable.readBoolean("cold", false));
             if (!names.add(fleet.name)) {
@@ -454,7 +454,7 @@
             long goalTime = workloadTable.readDurationNanos("goal", "400ms");
             long cutOff = workloadTable.readDurationNanos("cut-off", "2s");
             Workload workload = new Workload(
-                    workloadTable.readText("name", null),
+                    workloadTable.readString("name", null),
                     Effect.valueOf(effectName.toUpperCase(java.util.Locale.ROOT)),
                     workloadTable.readChoice("scope", "zone", List.of("all", "zone", "cell")),
                     workloadTable.readDurationNanos("window", "500ms"),
--- a/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/BadClient.java
@@ -47,7 +47,7 @@
             if (!over) {
                 over = true;
                 world.onBadClientUnanswered();
-                relay.end(this);
+                relay.disconnect(this);
             }
         });
     }
--- a/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/ClientConnection.java
@@ -76,7 +76,7 @@
             world.metrics.add(Series.UNANSWERED, 1, world.now());
             world.invariantChecker.onEndWithoutAnswer(association, "nothing within its time", world.now());
             over();
-            relay.end(this);
+            relay.disconnect(this);
             session.onFailed();
         }
     }
@@ -103,7 +103,7 @@
     @Override
     public void onLine(byte[] raw) {
         if (stage == Stage.CLOSED) {
-            if (association.finalAnswers > 0 && !saidMove && !saidBye) {
+            if (association.finalAnswerCount > 0 && !saidMove && !saidBye) {
                 world.invariantChecker.onLineAfterFinalAnswer(association, world.now());
             }
             return;
@@ -171,7 +171,7 @@
         boolean wasUp = stage == Stage.ESTABLISHED;
         over();
         if (!reset) {
-            relay.end(this);
+            relay.disconnect(this);
         }
         if (!wasUp) {
             world.invariantChecker.onEndWithoutAnswer(association, "closed with no answer", world.now());
--- a/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/InvariantChecker.java
@@ -52,7 +52,7 @@
         final long id;
         final Scenario.Workload useCase;
         final List<ObservedDispatch> dispatches = new ArrayList<>(1);
-        int finalAnswers;
+        int finalAnswerCount;
         boolean endedUnanswered;
 
         public ObservedAssociation(long id, Scenario.Workload work) {
@@ -134,9 +134,9 @@
 
     /** A client read a final answer: UP (whose end is another matter), BUSY or ERR. */
     public void onFinalAnswer(ObservedAssociation c, boolean shed, long now) {
-        c.finalAnswers++;
-        if (c.finalAnswers > 1) {
-            recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, c, now, "answer " + c.finalAnswers);
+        c.finalAnswerCount++;
+        if (c.finalAnswerCount > 1) {
+            recordViolation(Invariant.NOTHING_AFTER_FINAL_ANSWER, c, now, "answer " + c.finalAnswerCount);
         }
         boolean mayHaveRun = c.dispatches.stream().anyMatch(r -> !r.neverRan);
         boolean harmless = c.useCase.effect() == Scenario.Effect.RETRIABLE
@@ -158,7 +158,7 @@
 
     /** The connection ended, or the client's time was up, while the relay could have answered. */
     public void onEndWithoutAnswer(ObservedAssociation c, String how, long now) {
-        if (c.finalAnswers == 0 && !c.endedUnanswered) {
+        if (c.finalAnswerCount == 0 && !c.endedUnanswered) {
             recordViolation(Invariant.EXACTLY_ONE_FINAL_ANSWER, c, now, how);
         }
         c.endedUnanswered = true;
--- a/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/MetricsRecorder.java
@@ -75,7 +75,7 @@
         }
     }
 
-    public double[] series(Series s) {
+    public double[] valuesPerSecond(Series s) {
         return series.get(s);
     }
 
--- a/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/RelayInstance.java
@@ -59,5 +59,5 @@
     protected abstract void send(ClientEndpoint client, byte[] raw);
 
     /** The client ends its connection. */
-    protected abstract void end(ClientEndpoint client);
+    protected abstract void disconnect(ClientEndpoint client);
 }
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedRelay.java
@@ -201,7 +201,7 @@
     }
 
     @Override
-    protected void end(ClientEndpoint link) {
+    protected void disconnect(ClientEndpoint link) {
         testbed.scheduler.scheduleAfter(link.oneWayLatency, () -> {
             if (holds(link)) {
                 onNetworkEvent(new NetworkEvent.InputShutdown(link.socket));
--- a/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/SimulatedTestbed.java
@@ -122,7 +122,7 @@
 
     RelayStateMachine newStateMachine(InitialState beginning) {
         return change.apply(new Reducer(
-                configuration.values().withSeed(SplitMix64.mix(++starts * 31 + random.nextLong())),
+                configuration.reducerConfiguration().withSeed(SplitMix64.mix(++starts * 31 + random.nextLong())),
                 beginning,
                 scenario.relays().persistsState(),
                 policy,
--- a/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
+++ b/lab/src/main/java/ambertrestle/lab/simulation/Testbed.java
@@ -52,7 +52,7 @@
     private double hotGroupShare;
     private long ids;
     private int waiting;
-    private int unansweredBadClients;
+    private int unansweredBadClientCount;
     private int badClientCount;
 
     /** `slack`: what a limit is longer for the way between relay and witness. */
@@ -499,11 +499,11 @@
     }
 
     void onBadClientUnanswered() {
-        unansweredBadClients++;
+        unansweredBadClientCount++;
     }
 
-    public int unansweredBadClients() {
-        return unansweredBadClients;
+    public int unansweredBadClientCount() {
+        return unansweredBadClientCount;
     }
 
     public int badClientCount() {
--- a/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
+++ b/lab/src/test/java/ambertrestle/lab/ShippedScenariosTest.java
@@ -61,13 +61,13 @@
                 String name = testbed.scenario.name();
                 if (!testbed.invariantChecker.hasNoViolations()
                         || benefitShare < MIN_BENEFIT_SHARES.getOrDefault(name, name.startsWith("away-") ? 0.75 : 0.95)
-                        || testbed.unansweredBadClients() > 0
+                        || testbed.unansweredBadClientCount() > 0
                         || testbed.connectionTotals().get("answers unaccounted for") != 0
                         || testbed.connectionTotals().get("ends unaccounted for") != 0) {
                     failures.put(
                             name,
                             benefitShare + " " + testbed.invariantChecker.violationMessages() + " "
-                                    + testbed.unansweredBadClients() + " " + testbed.connectionTotals());
+                                    + testbed.unansweredBadClientCount() + " " + testbed.connectionTotals());
                 }
             } catch (Exception e) {
                 failures.put(file.toString(), e.toString());
--- a/relay/src/main/java/ambertrestle/cli/Cli.java
+++ b/relay/src/main/java/ambertrestle/cli/Cli.java
@@ -252,7 +252,7 @@
                 return 1;
             }
             PlacementPreview placement =
-                    new PlacementPreview(sheet.values(), message, System.currentTimeMillis() * 1_000_000);
+                    new PlacementPreview(sheet.reducerConfiguration(), message, System.currentTimeMillis() * 1_000_000);
             PrintWriter out = spec.commandLine().getOut();
             int line = 0;
             BufferedReader in = keys.isEmpty()
--- a/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/OperatorConfiguration.java
@@ -49,7 +49,7 @@
     }
 
     private static PersistenceConfiguration durable(TomlDocument.Table part) {
-        String folder = part.readText("folder", null);
+        String folder = part.readString("folder", null);
         if (folder != null && !Files.isDirectory(Path.of(folder))) {
             part.addFault("folder", "is not there: expected a folder that outlives the relay, got " + folder);
         }
--- a/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayConfiguration.java
@@ -26,7 +26,7 @@
         int connectTimeoutMillis,
         ConfiguredNames names,
         RosterMessage initialRoster,
-        ReducerConfiguration values) {
+        ReducerConfiguration reducerConfiguration) {
     /** Descriptors kept for the JVM's own files, the selector, the roster watch and connections being refused. */
     private static final int RESERVED_DESCRIPTORS = 64;
 
@@ -80,7 +80,7 @@
                 return List.of(new TomlDocument.Fault(path, lines.syntaxErrorLine(), "", "is not JSON from here on"));
             }
             RelayConfiguration sheet = read(environment);
-            new Balancer(sheet.values.settings(), sheet.values.seed(), 0);
+            new Balancer(sheet.reducerConfiguration.settings(), sheet.reducerConfiguration.seed(), 0);
             return List.of();
         } catch (IOException e) {
             return List.of(new TomlDocument.Fault(path, 1, "", "cannot be read"));
@@ -213,7 +213,7 @@
         if (!name.equals(later.name)) {
             keys.add("name");
         }
-        if (!values.settings().equals(later.values.settings())) {
+        if (!reducerConfiguration.settings().equals(later.reducerConfiguration.settings())) {
             keys.add("settings");
         }
         return keys;
--- a/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
+++ b/relay/src/main/java/ambertrestle/relay/server/RelayServer.java
@@ -61,9 +61,9 @@
         watch = new RosterWatcher(vertx, this::onNetworkEvent);
         if (keeper == null) {
             statePersister = null;
-            reducer = new Reducer(sheet.values(), sheet.initialRoster(), now());
+            reducer = new Reducer(sheet.reducerConfiguration(), sheet.initialRoster(), now());
         } else {
-            String rosterAt = sheet.values().rosterAddress().toString();
+            String rosterAt = sheet.reducerConfiguration().rosterAddress().toString();
             StateSnapshot kept = keeper.restore(now(), said);
             Recovery.InitialState beginning =
                     Recovery.recover(sheet.initialRoster(), kept, rosterAt, durable.maxFreshRosterAgeNanos(), now());
@@ -77,7 +77,7 @@
                     () -> handleEvent(new Event.LearnedStateRequested()),
                     watch,
                     unixTimeOffsetNanos);
-            reducer = new Reducer(sheet.values(), beginning, true, Balancer::new, now());
+            reducer = new Reducer(sheet.reducerConfiguration(), beginning, true, Balancer::new, now());
         }
     }
 
@@ -161,7 +161,8 @@
                 "the configuration was read again"
                         + (keys.isEmpty() ? "" : "; taken over only at the next start: " + String.join(", ", keys)));
         handleEvent(new Event.ConfigurationReloaded(
-                later.values().rosterAddress(), later.values().maxSockets()));
+                later.reducerConfiguration().rosterAddress(),
+                later.reducerConfiguration().maxSockets()));
     }
 
     /** One that never goes back and reads like Unix time, so that what the roster tells needs no other. */
--- a/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
+++ b/relay/src/main/java/ambertrestle/relay/toml/TomlDocument.java
@@ -53,14 +53,14 @@
             return table.get(List.of(key)) != null;
         }
 
-        public String readText(String key, String otherwise) {
+        public String readString(String key, String otherwise) {
             Object value = value(key, otherwise);
             return value instanceof String text ? text : reportMalformed(key, value, otherwise, "a text in quotes");
         }
 
         /** One of the words. */
         public String readChoice(String key, String otherwise, Collection<String> words) {
-            String said = readText(key, otherwise);
+            String said = readString(key, otherwise);
             if (said != null && !words.contains(said)) {
                 addFault(
                         key,
--- a/relay/src/test/java/ambertrestle/cli/CliTest.java
+++ b/relay/src/test/java/ambertrestle/cli/CliTest.java
@@ -145,10 +145,11 @@
         RelayConfiguration sheet = RelayConfiguration.read(Map.of("BALANCER_CONFIG", REHEARSAL.toString()));
         var message = ambertrestle.relay.wire.RosterMessage.decode(
                 new JsonObject(Files.readString(roster(50, "in_service"))));
-        PlacementPreview together = new PlacementPreview(sheet.values(), message, 1);
+        PlacementPreview together = new PlacementPreview(sheet.reducerConfiguration(), message, 1);
         for (long key = 1; key < 300; key++) {
             assertThat(together.selectBackend(key))
-                    .isEqualTo(new PlacementPreview(sheet.values().withSeed(key), message, 1).selectBackend(key));
+                    .isEqualTo(new PlacementPreview(sheet.reducerConfiguration().withSeed(key), message, 1)
+                            .selectBackend(key));
         }
     }
 
--- a/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
+++ b/relay/src/test/java/ambertrestle/relay/server/RelayConfigurationTest.java
@@ -44,13 +44,13 @@
         assertThat(sheet.listenAddress()).isEqualTo(new Address("127.0.0.5", 81));
         assertThat(sheet.connectTimeoutMillis()).isEqualTo(150);
         assertThat(sheet.initialRoster().entries().get(0).stage()).isEqualTo(Stage.DRAINING);
-        assertThat(sheet.values().seed()).isEqualTo(0xff00000000000001L);
+        assertThat(sheet.reducerConfiguration().seed()).isEqualTo(0xff00000000000001L);
         assertThat(sheet.names()).isEqualTo(new ConfiguredNames(List.of("read it"), List.of("x")));
-        assertThat(sheet.values().cutOffs()).containsExactly(2_000_000L);
-        assertThat(sheet.values().messageGoalTime()).isEqualTo(60_000);
-        assertThat(sheet.values().maxSockets()).isEqualTo(136);
-        assertThat(sheet.values().isPassThrough()).isTrue();
-        assertThat(sheet.values().settings())
+        assertThat(sheet.reducerConfiguration().cutOffs()).containsExactly(2_000_000L);
+        assertThat(sheet.reducerConfiguration().messageGoalTime()).isEqualTo(60_000);
+        assertThat(sheet.reducerConfiguration().maxSockets()).isEqualTo(136);
+        assertThat(sheet.reducerConfiguration().isPassThrough()).isTrue();
+        assertThat(sheet.reducerConfiguration().settings())
                 .containsEntry("relays", "4")
                 .containsEntry("useCases.count", "1")
                 .containsEntry("useCases.0.effect", "retriable")
@@ -89,8 +89,8 @@
                 "BALANCER_CONFIG",
                 Files.writeString(dir.resolve("d.json"), moved).toString());
         RelayConfiguration later = RelayConfiguration.read(environment);
-        assertThat(later.values().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
-        assertThat(later.values().maxSockets()).isEqualTo(236);
+        assertThat(later.reducerConfiguration().rosterAddress()).isEqualTo(new Address("127.0.0.3", 86));
+        assertThat(later.reducerConfiguration().maxSockets()).isEqualTo(236);
         assertThat(first.keysNeedingRestart(later)).isEmpty();
         assertThat(first.keysNeedingRestart(
                         read(GOOD.replace("\"siblings\":4", "\"siblings\":5").replace("n3", "n4"))))
--- a/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
+++ b/relay/src/test/java/ambertrestle/relay/toml/TomlDocumentTest.java
@@ -57,8 +57,8 @@
     void reportsMissingKeyAndTableInPlaceOfValue() {
         TomlDocument sheet = TomlDocument.parse("f", "[a]\n[b]\n");
         TomlDocument.Table top = sheet.rootTable();
-        top.readText("name", null);
-        top.readText("a", "x");
+        top.readString("name", null);
+        top.readString("a", "x");
         top.readTables("b");
         assertThat(faults(sheet))
                 .anyMatch(f -> f.endsWith("name is missing"))
