--- a/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
+++ b/lab/src/main/java/ambertrestle/lab/loopback/RelayProcess.java
@@ -47,7 +47,7 @@
     private Process process;
     /** Incremented at each start and kill, so that callbacks for an earlier process can be recognised. */
     private int incarnation;
-    /** CPU time of the processes that were terminated. */
+    /** CPU time of the terminated processes, each read when it was told to end; nanoseconds. */
     private long endedProcessesCpuNanos;
 
     RelayProcess(LoopbackTestbed testbed, int number, Path jar, Path workingDirectory) throws IOException {
--- a/lab/src/main/java/ambertrestle/lab/report/RunResult.java
+++ b/lab/src/main/java/ambertrestle/lab/report/RunResult.java
@@ -12,10 +12,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The result of one run of one policy with one seed. Apart from the resource usage of a run on sockets, it contains
- * nothing that depends on the machine or on how long the run took. Latencies are in milliseconds and start when the
- * client wanted its answer, not when it sent the request, so that a slow relay cannot hide its delay by slowing its
- * clients down (coordinated omission).
+ * The result of one run of one policy with one seed. Apart from the resource usage of a run on sockets, nothing in it
+ * describes the machine or how long the run took. Latencies are in milliseconds and start when the client wanted its
+ * answer, not when it sent the request, so that a slow relay cannot hide its delay by slowing its clients down
+ * (coordinated omission).
  *
  * @param isComplete whether the run reached its end; false if it was interrupted
  * @param metrics the run's entry in summary.json
--- a/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ambertrestle/lab/scenario/Scenario.java
@@ -183,7 +183,7 @@
     public record Clients(int maxRetries, long initialBackoff, boolean reconnects, long maxReconnectDelay) {}
 
     /**
-     * The limits that relays are configured with and that the invariant checker checks.
+     * The limits that relays are configured with. The invariant checker checks those of drains and of slow start.
      *
      * @param drainGrace how long after learning of a drain a relay may still dispatch to that backend
      * @param slowStartInitialFactor share of its full capacity that a backend has when it starts, from 0.01 to 1
